--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarded-request.cc
@@ -1,4 +1,4 @@
-#include "forwarding.h"
+#include "forwarded-request.h"
 
 #include "gateway-metrics.h"
 
@@ -13,88 +13,94 @@
 using base::Verdict;
 
 /// A server that answers at its own time limit may still be heard.
-constexpr milliseconds LimitSlack{100};
+constexpr milliseconds DeadlineSlack{100};
 /// Connections come about in a few ms; a lost first packet is sent again only
 /// after a second, when another server is the better choice.
-constexpr milliseconds ConnectLimit{400};
+constexpr milliseconds ConnectTimeout{400};
 /// Late answers to earlier requests that are read past.
-constexpr int MostForeignAnswers = 3;
+constexpr int MaxForeignResponses = 3;
 /// With less time left no further attempt is worth its load.
-constexpr milliseconds LeastTime{20};
+constexpr milliseconds MinAttemptTime{20};
 /// When to come back if no server could be found.
-constexpr milliseconds RetryAfter{250};
+constexpr milliseconds DefaultRetryAfter{250};
 /// A gateway without a config needs a call to the store, or a peer.
-constexpr milliseconds RetryAfterStart{1'000};
+constexpr milliseconds NotReadyRetryAfter{1'000};
 /// Another gateway can take the request at once.
-constexpr milliseconds RetryElsewhere{20};
+constexpr milliseconds LeavingRetryAfter{20};
 
 milliseconds retryAfter(Reason why) {
   if (why == Reason::NotReady)
-    return RetryAfterStart;
-  return why == Reason::Leaving ? RetryElsewhere : RetryAfter;
+    return NotReadyRetryAfter;
+  return why == Reason::Leaving ? LeavingRetryAfter : DefaultRetryAfter;
 }
-constexpr int MostUrgent = 0;
-constexpr int LeastUrgent = 9;
+constexpr int HighestPriority = 0;
+constexpr int LowestPriority = 9;
 /// Routes' priorities within one priority of organisations.
-constexpr int RouteLevels = 3;
+constexpr int RoutePriorityLevels = 3;
 
 } // namespace
 
-int Forwarding::priority() const {
-  const int own = std::clamp(TheRoute->Priority, 0, RouteLevels - 1);
-  const int first = Holder && Holder->Priority ? *Holder->Priority : 0;
-  return std::clamp(first * RouteLevels + own, MostUrgent, LeastUrgent);
+int ForwardedRequest::priority() const {
+  const int own =
+      std::clamp(MatchedRoute->Priority, 0, RoutePriorityLevels - 1);
+  const int first = CallerOrganisation && CallerOrganisation->Priority
+                        ? *CallerOrganisation->Priority
+                        : 0;
+  return std::clamp(first * RoutePriorityLevels + own, HighestPriority,
+                    LowestPriority);
 }
 
-void Forwarding::stop() {
+void ForwardedRequest::closeConnection() {
   if (Connection)
     Connection->close();
 }
 
-void Forwarding::startLimit() {
-  Limit.expires_at(Deadline + LimitSlack);
-  Limit.async_wait([self = weak_from_this()](boost::system::error_code ec) {
-    const ForwardingPointer f = self.lock();
-    if (ec || !f)
-      return;
-    f->IsLate = true;
-    f->stop();
-  });
+void ForwardedRequest::startDeadlineTimer() {
+  DeadlineTimer.expires_at(Deadline + DeadlineSlack);
+  DeadlineTimer.async_wait(
+      [self = weak_from_this()](boost::system::error_code ec) {
+        const ForwardedRequestPointer f = self.lock();
+        if (ec || !f)
+          return;
+        f->IsExpired = true;
+        f->closeConnection();
+      });
 }
 
-asio::awaitable<std::shared_ptr<http::Connection>> connectTo(Forwarding &f,
-                                                             Server server) {
+asio::awaitable<std::shared_ptr<http::Connection>>
+connectTo(ForwardedRequest &f, Server server) {
   const milliseconds limit =
-      std::clamp(f.timeLeft(), milliseconds(1), ConnectLimit);
+      std::clamp(f.timeRemaining(), milliseconds(1), ConnectTimeout);
   auto opened = co_await http::Connection::open(server.Listed.Address, limit);
   if (!ok(opened))
     co_return nullptr;
   co_return value(opened);
 }
 
-void sendTo(Forwarding &f, const Server &server,
+void sendTo(ForwardedRequest &f, const Server &server,
             const std::optional<Continuation> &from) {
   ServerOrder order;
   order.ServerId = server.Listed.Id;
-  order.TimeLeft = std::max(f.timeLeft(), milliseconds(1));
-  if (f.Holder)
-    order.Organisation = f.Holder->Name;
-  if (f.TheService->Engine)
+  order.TimeLeft = std::max(f.timeRemaining(), milliseconds(1));
+  if (f.CallerOrganisation)
+    order.Organisation = f.CallerOrganisation->Name;
+  if (f.ChosenService->Engine)
     order.Priority = f.priority();
   order.From = from;
   ++f.Arrivals;
-  f.Connection->send(f.W.Words.ToServer(f.Request, order));
+  f.Connection->send(f.Ctx.Codec.ToServer(f.Request, order));
 }
 
-asio::awaitable<std::optional<ServerAnswer>> readOwnHead(Forwarding &f) {
-  for (int i = 0; i < MostForeignAnswers; ++i) {
+asio::awaitable<std::optional<ServerAnswer>>
+readMatchingHead(ForwardedRequest &f) {
+  for (int i = 0; i < MaxForeignResponses; ++i) {
     auto head = co_await f.Connection->readHead();
     if (!ok(head))
       co_return std::nullopt;
-    ServerAnswer answer = f.W.Words.ReadAnswer(f.Request, value(head));
+    ServerAnswer answer = f.Ctx.Codec.ReadAnswer(f.Request, value(head));
     if (answer.IsOwn || answer.HasNotRun)
       co_return answer;
-    f.W.Log.write("foreign-answer", {{"request", f.Request.AttemptId}});
+    f.Ctx.Log.write("foreign-answer", {{"request", f.Request.AttemptId}});
     const auto skipped = co_await readBody(f);
     if (!skipped)
       co_return std::nullopt;
@@ -102,7 +108,7 @@
   co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<std::string>> readBody(Forwarding &f) {
+asio::awaitable<std::optional<std::string>> readBody(ForwardedRequest &f) {
   std::string body;
   for (;;) {
     auto piece = co_await f.Connection->read();
@@ -114,8 +120,8 @@
   }
 }
 
-AttemptEnd endOf(const ServerAnswer &answer) {
-  constexpr int FirstFailure = 500;
+AttemptEnd classifyResponse(const ServerAnswer &answer) {
+  constexpr int FirstServerErrorStatus = 500;
   if (answer.IsOtherServer)
     return AttemptEnd::OtherServer;
   if (answer.HasNotRun)
@@ -123,39 +129,41 @@
   // Without its stamp it is not the server's answer.
   if (!answer.IsStamped)
     return AttemptEnd::Broken;
-  return answer.Status >= FirstFailure ? AttemptEnd::Failed
-                                       : AttemptEnd::Served;
+  return answer.Status >= FirstServerErrorStatus ? AttemptEnd::Failed
+                                                 : AttemptEnd::Served;
 }
 
-Step stepAfter(Forwarding &f, const Attempt &attempt, bool hasServer) {
+Step decideNextStep(ForwardedRequest &f, const Attempt &attempt,
+                    bool hasServer) {
   if (attempt.End == AttemptEnd::OtherServer)
     --f.Sends;
   AttemptState state;
   state.End = attempt.End;
-  state.Kind = f.TheRoute->Kind;
+  state.Kind = f.MatchedRoute->Kind;
   state.Sends = f.Sends;
   state.Arrivals = f.Arrivals;
-  state.MaxSends = f.TheRoute->MaxAttempts;
+  state.MaxSends = f.MatchedRoute->MaxAttempts;
   state.MayHaveRun = f.MayHaveRun;
-  state.HasTime = f.timeLeft() > LeastTime && !f.isOver();
+  state.HasTime = f.timeRemaining() > MinAttemptTime && !f.isAborted();
   state.HasServer = hasServer;
   return nextStep(state, [&] {
-    const base::Instant now = f.W.now();
-    const bool isGranted =
-        f.W.Budget.tryRetry(now, f.TheService->Name, f.W.Others.gateways(now));
-    countRetry(f.W.Metrics, f.TheService->Name, isGranted);
+    const base::Instant now = f.Ctx.now();
+    const bool isGranted = f.Ctx.Budget.tryRetry(
+        now, f.ChosenService->Name, f.Ctx.GatewayPeers.gateways(now));
+    countRetry(f.Ctx.Metrics, f.ChosenService->Name, isGranted);
     return isGranted;
   });
 }
 
-http::Response refusal(const Forwarding &f, Verdict verdict, Reason why) {
+http::Response makeRefusal(const ForwardedRequest &f, Verdict verdict,
+                           Reason why) {
   constexpr int NotRunStatus = 503;
-  constexpr int LateStatus = 504;
+  constexpr int ExpiredStatus = 504;
   constexpr int MayHaveRunStatus = 502;
   http::Response response;
   response.Status = MayHaveRunStatus;
   if (why == Reason::Expired)
-    response.Status = LateStatus;
+    response.Status = ExpiredStatus;
   if (verdict == Verdict::NotRun)
     response.Status = NotRunStatus;
   response.ContentType = "text/plain";
@@ -167,11 +175,11 @@
                      std::chrono::duration<double>(retryAfter(why)).count())});
   response.Headers.push_back(
       {"Drumlanding-Verdict", std::string(toString(verdict))});
-  f.W.Words.MarkAnswer(f.Request, response);
+  f.Ctx.Codec.MarkAnswer(f.Request, response);
   return response;
 }
 
-http::Response toResponse(WholeAnswer answer) {
+http::Response toResponse(CompleteResponse answer) {
   http::Response response;
   response.Status = answer.Head.Status;
   response.Headers = std::move(answer.Head.Headers);
@@ -179,9 +187,9 @@
   return response;
 }
 
-void noteOutcome(Forwarding &f, const std::string &server,
-                 const Attempt &attempt) {
-  if (f.HasCallerLeft)
+void recordOutcome(ForwardedRequest &f, const std::string &server,
+                   const Attempt &attempt) {
+  if (f.HasCallerDisconnected)
     return;
   ServerOutcome outcome = ServerOutcome::Served;
   switch (attempt.End) {
@@ -200,10 +208,10 @@
     outcome = ServerOutcome::Unreachable;
     break;
   case AttemptEnd::OtherServer:
-    f.W.Servers.markReplaced(f.W.now(), server);
+    f.Ctx.Servers.markReplaced(f.Ctx.now(), server);
     return;
   }
-  f.W.Servers.note(f.W.now(), server, outcome);
+  f.Ctx.Servers.note(f.Ctx.now(), server, outcome);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -9,7 +9,7 @@
 using base::Reason;
 using base::Verdict;
 
-http::Response plainAnswer(int status, std::string text) {
+http::Response plainTextResponse(int status, std::string text) {
   return {status, "text/plain", std::move(text), {}};
 }
 
@@ -18,8 +18,8 @@
 constexpr double MsPerToken = 8.5;
 
 /// Returns how long a stream is expected to go on; nothing for plain calls.
-base::Duration expectedTime(const Forwarding &f) {
-  if (f.TheRoute->Kind != RequestKind::Stream)
+base::Duration expectedStreamDuration(const ForwardedRequest &f) {
+  if (f.MatchedRoute->Kind != RequestKind::Stream)
     return base::Duration(0);
   const double tokens =
       std::min(f.Request.ExpectedTokens, f.Request.MostTokens);
@@ -30,148 +30,157 @@
 } // namespace
 
 asio::awaitable<void> Forwarder::serve(http::Request http, http::Exchange &x) {
-  auto f =
-      std::make_shared<Forwarding>(W, W.Words.ReadRequest(std::move(http)));
-  f->ReceivedAt = W.now();
-  if (W.IsLeaving)
+  auto f = std::make_shared<ForwardedRequest>(
+      Ctx, Ctx.Codec.ReadRequest(std::move(http)));
+  f->ReceivedAt = Ctx.now();
+  if (Ctx.IsLeaving)
     x.closeAfter();
   if (auto answer = admit(*f)) {
-    W.Words.MarkAnswer(f->Request, *answer);
-    logEnd(*f, answer->Status, "not admitted");
+    Ctx.Codec.MarkAnswer(f->Request, *answer);
+    logRequestEnd(*f, answer->Status, "not admitted");
     co_await x.send(std::move(*answer));
     co_return;
   }
-  ++W.Open;
-  f->startLimit();
-  std::weak_ptr<Forwarding> weak = f;
+  ++Ctx.OpenRequests;
+  f->startDeadlineTimer();
+  std::weak_ptr<ForwardedRequest> weak = f;
   x.onGone([weak] {
     const auto forwarding = weak.lock();
     if (!forwarding)
       return;
-    forwarding->HasCallerLeft = true;
-    forwarding->stop();
+    forwarding->HasCallerDisconnected = true;
+    forwarding->closeConnection();
   });
-  W.Budget.firstSend(f->ReceivedAt, f->TheService->Name);
-  if (f->TheRoute->Kind == RequestKind::Stream)
-    co_await forwardStream(*f, x, Moves);
+  Ctx.Budget.firstSend(f->ReceivedAt, f->ChosenService->Name);
+  if (f->MatchedRoute->Kind == RequestKind::Stream)
+    co_await forwardStream(*f, x, Migrations);
   else
     co_await forwardCall(*f, x);
-  f->Limit.cancel();
-  f->stop();
-  --W.Open;
+  f->DeadlineTimer.cancel();
+  f->closeConnection();
+  --Ctx.OpenRequests;
 }
 
-std::optional<http::Response> Forwarder::admit(Forwarding &f) {
-  if (!W.Routes)
-    return refusal(f, Verdict::NotRun, Reason::NotReady);
-  f.Routes = W.Routes;
-  f.TheRoute = f.Routes->find(f.Request.Host, f.Request.Http.path());
-  if (!f.TheRoute)
-    return plainAnswer(404, "No route has this host and path.\n");
-  f.Holder = f.Routes->organisationOf(f.Request.Key);
-  if (f.Routes->needsKeys() && !f.TheRoute->IsPublic && !f.Holder)
-    return plainAnswer(401, "The key is missing or unknown.\n");
+std::optional<http::Response> Forwarder::admit(ForwardedRequest &f) {
+  if (!Ctx.Routes)
+    return makeRefusal(f, Verdict::NotRun, Reason::NotReady);
+  f.Routes = Ctx.Routes;
+  f.MatchedRoute = f.Routes->find(f.Request.Host, f.Request.Http.path());
+  if (!f.MatchedRoute)
+    return plainTextResponse(404, "No route has this host and path.\n");
+  f.CallerOrganisation = f.Routes->organisationOf(f.Request.Key);
+  if (f.Routes->needsKeys() && !f.MatchedRoute->IsPublic &&
+      !f.CallerOrganisation)
+    return plainTextResponse(401, "The key is missing or unknown.\n");
   if (f.Request.AttemptId.empty())
-    return plainAnswer(400, "The request has no attempt id.\n");
-  f.TheService =
-      f.Routes->config().service(chooseService(*f.TheRoute, W.Random));
-  if (!f.TheService)
-    return refusal(f, Verdict::NotRun, Reason::UnknownService);
-  const base::milliseconds patience = std::min(
-      f.Request.Patience.value_or(f.TheRoute->Timeout), f.TheRoute->Timeout);
-  f.Deadline = f.ReceivedAt + patience;
+    return plainTextResponse(400, "The request has no attempt id.\n");
+  f.ChosenService =
+      f.Routes->config().service(chooseService(*f.MatchedRoute, Ctx.Random));
+  if (!f.ChosenService)
+    return makeRefusal(f, Verdict::NotRun, Reason::UnknownService);
+  const base::milliseconds timeout =
+      std::min(f.Request.Patience.value_or(f.MatchedRoute->Timeout),
+               f.MatchedRoute->Timeout);
+  f.Deadline = f.ReceivedAt + timeout;
   // The stop would cut it: another gateway can carry it to its end.
-  if (W.IsLeaving && f.ReceivedAt + expectedTime(f) > W.stopAt())
-    return refusal(f, Verdict::NotRun, Reason::Leaving);
+  if (Ctx.IsLeaving &&
+      f.ReceivedAt + expectedStreamDuration(f) > Ctx.stopDeadline())
+    return makeRefusal(f, Verdict::NotRun, Reason::Leaving);
   return std::nullopt;
 }
 
-const Server *Forwarder::nextServer(Forwarding &f) {
-  return W.Placing.forCall(W.now(), f.TheService->Name, f.Tried, W.Random);
+const Server *Forwarder::chooseServer(ForwardedRequest &f) {
+  return Ctx.Placer.forCall(Ctx.now(), f.ChosenService->Name, f.TriedServers,
+                            Ctx.Random);
 }
 
-asio::awaitable<Attempt> Forwarder::tryCall(Forwarding &f, Server server) {
+asio::awaitable<Attempt> Forwarder::attemptCall(ForwardedRequest &f,
+                                                Server server) {
   Attempt attempt;
   f.Connection = co_await connectTo(f, server);
   if (!f.Connection) {
-    attempt.Why = "no connection";
+    attempt.Cause = "no connection";
     co_return attempt;
   }
-  if (f.isOver()) {
-    attempt.Why = "over before it was sent";
+  if (f.isAborted()) {
+    attempt.Cause = "over before it was sent";
     co_return attempt;
   }
   ++f.Sends;
   attempt.End = AttemptEnd::Broken;
-  attempt.Why = "no whole answer";
+  attempt.Cause = "no whole answer";
   sendTo(f, server, std::nullopt);
-  auto head = co_await readOwnHead(f);
+  auto head = co_await readMatchingHead(f);
   if (!head)
     co_return attempt;
   auto body = co_await readBody(f);
   if (!body)
     co_return attempt;
-  attempt.End = endOf(*head);
-  attempt.Why = "answered";
-  attempt.Answer = WholeAnswer{std::move(*head), std::move(*body)};
+  attempt.End = classifyResponse(*head);
+  attempt.Cause = "answered";
+  attempt.Response = CompleteResponse{std::move(*head), std::move(*body)};
   co_return attempt;
 }
 
-asio::awaitable<void> Forwarder::forwardCall(Forwarding &f, http::Exchange &x) {
-  const Server *next = nextServer(f);
+asio::awaitable<void> Forwarder::forwardCall(ForwardedRequest &f,
+                                             http::Exchange &x) {
+  const Server *next = chooseServer(f);
   for (;;) {
     if (!next) {
-      logEnd(f, 503, "no server");
-      co_await x.send(refusal(f, Verdict::NotRun, Reason::NoBackendServer));
+      logRequestEnd(f, 503, "no server");
+      co_await x.send(makeRefusal(f, Verdict::NotRun, Reason::NoBackendServer));
       co_return;
     }
     const Server server = *next;
     const std::string id = server.Listed.Id;
-    W.Servers.opened(id);
-    Attempt attempt = co_await tryCall(f, server);
-    W.Servers.closed(id);
-    f.stop();
-    f.Tried.push_back(id);
-    noteOutcome(f, id, attempt);
-    W.Log.write("attempt-ended", {{"request", f.Request.AttemptId},
-                                  {"server", id},
-                                  {"end", static_cast<int>(attempt.End)},
-                                  {"why", attempt.Why}});
-    next = nextServer(f);
-    const Step step = stepAfter(f, attempt, next != nullptr);
+    Ctx.Servers.opened(id);
+    Attempt attempt = co_await attemptCall(f, server);
+    Ctx.Servers.closed(id);
+    f.closeConnection();
+    f.TriedServers.push_back(id);
+    recordOutcome(f, id, attempt);
+    Ctx.Log.write("attempt-ended", {{"request", f.Request.AttemptId},
+                                    {"server", id},
+                                    {"end", static_cast<int>(attempt.End)},
+                                    {"why", attempt.Cause}});
+    next = chooseServer(f);
+    const Step step = decideNextStep(f, attempt, next != nullptr);
     if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
       f.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
-    if (f.HasCallerLeft) {
-      logEnd(f, 0, "caller left");
+    if (f.HasCallerDisconnected) {
+      logRequestEnd(f, 0, "caller left");
       co_return;
     }
     http::Response response;
     if (step == Step::Deliver)
-      response = toResponse(std::move(*attempt.Answer));
+      response = toResponse(std::move(*attempt.Response));
     else if (step == Step::RefuseNotRun)
-      response = refusal(f, Verdict::NotRun, Reason::Overloaded);
+      response = makeRefusal(f, Verdict::NotRun, Reason::Overloaded);
     else
-      response =
-          refusal(f, Verdict::MayHaveRun,
-                  f.IsLate ? Reason::Expired : Reason::BackendServerLost);
-    logEnd(f, response.Status, attempt.Why);
+      response = makeRefusal(f, Verdict::MayHaveRun,
+                             f.IsExpired ? Reason::Expired
+                                         : Reason::BackendServerLost);
+    logRequestEnd(f, response.Status, attempt.Cause);
     co_await x.send(std::move(response));
     co_return;
   }
 }
 
-void Forwarder::logEnd(const Forwarding &f, int status, std::string_view why) {
-  W.Log.write("request-ended",
-              {{"request", f.Request.AttemptId},
-               {"route", f.TheRoute ? std::string_view(f.TheRoute->Name) : ""},
-               {"status", status},
-               {"why", why},
-               {"sends", f.Sends},
-               {"ms", base::toMs(W.now() - f.ReceivedAt)}});
-  countCall(W.Metrics, {f.TheRoute ? std::string_view(f.TheRoute->Name) : "",
-                        status, W.now() - f.ReceivedAt});
+void Forwarder::logRequestEnd(const ForwardedRequest &f, int status,
+                              std::string_view why) {
+  Ctx.Log.write(
+      "request-ended",
+      {{"request", f.Request.AttemptId},
+       {"route", f.MatchedRoute ? std::string_view(f.MatchedRoute->Name) : ""},
+       {"status", status},
+       {"why", why},
+       {"sends", f.Sends},
+       {"ms", base::toMs(Ctx.now() - f.ReceivedAt)}});
+  countCall(Ctx.Metrics,
+            {f.MatchedRoute ? std::string_view(f.MatchedRoute->Name) : "",
+             status, Ctx.now() - f.ReceivedAt});
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -2,8 +2,8 @@
 /// them, and brings them to backend servers and the answers back.
 #pragma once
 
-#include "forwarding.h"
-#include "mover.h"
+#include "forwarded-request.h"
+#include "migrator.h"
 
 #include "drumlanding/http/http.h"
 
@@ -11,21 +11,23 @@
 
 class Forwarder {
 public:
-  Forwarder(World &world, Mover &mover) : W(world), Moves(mover) {}
+  Forwarder(GatewayContext &ctx, Migrator &migrator)
+      : Ctx(ctx), Migrations(migrator) {}
 
   /// Answers one request of a caller.
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
 
 private:
   /// Returns the final answer when the request goes no further.
-  std::optional<http::Response> admit(Forwarding &f);
-  asio::awaitable<void> forwardCall(Forwarding &f, http::Exchange &x);
-  asio::awaitable<Attempt> tryCall(Forwarding &f, Server server);
-  const Server *nextServer(Forwarding &f);
-  void logEnd(const Forwarding &f, int status, std::string_view why);
-
-  World &W;
-  Mover &Moves;
+  std::optional<http::Response> admit(ForwardedRequest &f);
+  asio::awaitable<void> forwardCall(ForwardedRequest &f, http::Exchange &x);
+  asio::awaitable<Attempt> attemptCall(ForwardedRequest &f, Server server);
+  const Server *chooseServer(ForwardedRequest &f);
+  void logRequestEnd(const ForwardedRequest &f, int status,
+                     std::string_view why);
+
+  GatewayContext &Ctx;
+  Migrator &Migrations;
 };
 
 } // namespace drumlanding::gateway
--- a/src/gateway/world.cc
+++ b/src/gateway/gateway-context.cc
@@ -1,9 +1,9 @@
-#include "world.h"
+#include "gateway-context.h"
 
 namespace drumlanding::gateway {
 
-void World::takeConfig(std::string text, std::string_view from) {
-  auto config = From.DecodeConfig(text);
+void GatewayContext::applyConfig(std::string text, std::string_view from) {
+  auto config = Store.DecodeConfig(text);
   if (!ok(config)) {
     Log.write("config-rejected",
               {{"from", from}, {"why", describe(error(config))}});
@@ -19,8 +19,8 @@
                              {"routes", Routes->config().Routes.size()}});
   Metrics.set("drumlanding_document_version", static_cast<double>(version),
               {{"document", "config"}});
-  if (TellPeers)
-    TellPeers();
+  if (NotifyPeers)
+    NotifyPeers();
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/world.h
+++ b/src/gateway/gateway-context.h
@@ -1,5 +1,5 @@
-/// World: what the parts of one gateway share. The gateway's VMs have one slow
-/// core, so all of it runs on one thread and needs no locks.
+/// GatewayContext: what the parts of one gateway share. The gateway's VMs have
+/// one slow core, so all of it runs on one thread and needs no locks.
 #pragma once
 
 #include "drumlanding/base/metrics.h"
@@ -29,7 +29,7 @@
   base::Endpoint Listen;
   base::Endpoint ReadyListen;
   base::Endpoint ControlListen;
-  base::Endpoint Store;
+  base::Endpoint StoreAddress;
   /// Where the metrics are told, beside the control address; none when unset.
   std::optional<base::Endpoint> MetricsListen;
   std::vector<base::Endpoint> Seeds;
@@ -37,50 +37,50 @@
   std::uint16_t SidecarPort = 0;
   RetryBudgetOptions Retries;
   /// How long a server that leaves as planned serves at least.
-  base::milliseconds Drain{2'000};
+  base::milliseconds DrainTime{2'000};
   /// A config is in force this long after the store has taken it.
-  base::milliseconds ConfigApply{2'000};
+  base::milliseconds MaxConfigApplyTime{2'000};
   /// How often servers renew their entries in the store.
-  base::milliseconds Renewal = Directory::DefaultRenewal;
+  base::milliseconds RenewalInterval = Directory::DefaultRenewal;
   /// From the order to stop until the process is killed.
-  base::milliseconds Grace{8'000};
+  base::milliseconds TerminationGracePeriod{8'000};
 };
 
-struct World {
+struct GatewayContext {
   /// The process ends by itself this long before it would be killed.
-  static constexpr base::milliseconds EndMargin{250};
+  static constexpr base::milliseconds ExitMargin{250};
 
-  World(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, Dialect dialect, Source source)
+  GatewayContext(asio::io_context &io, const base::Clock &clock,
+                 GatewaySettings settings, Dialect dialect, Source source)
       : Io(io), Clock(clock), Settings(std::move(settings)),
-        Words(std::move(dialect)), From(std::move(source)), Log(Settings.Name),
-        Servers(Settings.Renewal), Placing(Servers, Runs, Settings.Zone),
+        Codec(std::move(dialect)), Store(std::move(source)), Log(Settings.Name),
+        Servers(Settings.RenewalInterval), Placer(Servers, Runs, Settings.Zone),
         Budget(Settings.Retries), Random(base::secureRandom64()),
-        Others(now(), {Settings.Name, Settings.ControlListen, Incarnation,
-                       Settings.Seeds}) {}
+        GatewayPeers(now(), {Settings.Name, Settings.ControlListen, Incarnation,
+                             Settings.Seeds}) {}
 
   asio::io_context &Io;
   const base::Clock &Clock;
   GatewaySettings Settings;
-  Dialect Words;
-  Source From;
+  Dialect Codec;
+  Source Store;
   EventLog Log;
   base::Metrics Metrics;
   Directory Servers;
   Ledger Runs;
-  Placement Placing;
+  Placement Placer;
   RetryBudget Budget;
   base::Random Random;
   std::uint64_t Incarnation = base::secureRandom64();
-  Peers Others;
+  Peers GatewayPeers;
   /// The config in force; null before the first.
   RouteTablePointer Routes;
   /// When the config was last known to be the store's newest.
-  base::Instant ConfigFrom{};
+  base::Instant ConfigConfirmedAt{};
   /// Its text, for peers that are behind.
   std::string ConfigText;
   /// When the list of servers was last heard from the store, by whomever.
-  base::Instant ListFrom{};
+  base::Instant ListConfirmedAt{};
   /// The store's revision up to which every change of it is known here.
   std::uint64_t ListRevision = 0;
   /// When this gateway itself last heard it from the store.
@@ -91,16 +91,16 @@
   /// are known to do it.
   bool WatchesList = true;
   /// Changes of the list heard from the store and not yet told to the others.
-  std::vector<ServerChange> ListNews;
+  std::vector<ServerChange> PendingListChanges;
   /// Entries of the list that name no usable server and were logged.
-  std::set<std::string, std::less<>> BadEntries;
+  std::set<std::string, std::less<>> UnusableEntryIds;
   bool IsLeaving = false;
   /// When the process was told to stop.
   base::Instant LeavingSince{};
   /// Requests being answered.
-  int Open = 0;
+  int OpenRequests = 0;
   /// Tells the other gateways soon.
-  std::function<void()> TellPeers;
+  std::function<void()> NotifyPeers;
 
   base::Instant now() const { return Clock.now().Steady; }
   /// True while the store's list reaches this gateway without help of others.
@@ -109,11 +109,11 @@
   }
   bool isReady() const { return Routes && !Servers.isEmpty() && !IsLeaving; }
   /// When a gateway that was told to stop ends, whatever is still open.
-  base::Instant stopAt() const {
-    return LeavingSince + Settings.Grace - EndMargin;
+  base::Instant stopDeadline() const {
+    return LeavingSince + Settings.TerminationGracePeriod - ExitMargin;
   }
   /// Puts a config in force unless it is older than the one there is.
-  void takeConfig(std::string text, std::string_view from);
+  void applyConfig(std::string text, std::string_view from);
 };
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -6,69 +6,71 @@
 namespace drumlanding::gateway {
 namespace {
 
-double inSeconds(base::Duration d) {
+double toSeconds(base::Duration d) {
   return std::chrono::duration<double>(d).count();
 }
 
-std::string text(bool b) { return b ? "true" : "false"; }
+std::string boolLabel(bool b) { return b ? "true" : "false"; }
 
 } // namespace
 
-void countCall(base::Metrics &metrics, const CallEnd &end) {
-  const std::string route(end.Route);
+void countCall(base::Metrics &metrics, const CallResult &result) {
+  const std::string route(result.Route);
   metrics.count("drumlanding_gateway_calls_total",
-                {{"route", route}, {"status", std::to_string(end.Status)}});
-  metrics.observe("drumlanding_gateway_call_seconds", inSeconds(end.Took),
+                {{"route", route}, {"status", std::to_string(result.Status)}});
+  metrics.observe("drumlanding_gateway_call_seconds", toSeconds(result.Elapsed),
                   {{"route", route}});
 }
 
-void countStream(base::Metrics &metrics, const StreamEnd &end) {
-  const std::string route(end.Route);
+void countStream(base::Metrics &metrics, const StreamResult &result) {
+  const std::string route(result.Route);
   metrics.count("drumlanding_gateway_streams_total",
-                {{"route", route}, {"how", std::string(end.How)}});
-  if (end.FirstEvent == base::Duration(0))
+                {{"route", route}, {"how", std::string(result.Outcome)}});
+  if (result.TimeToFirstEvent == base::Duration(0))
     return;
   const base::MetricLabels labels{{"route", route}};
   metrics.observe("drumlanding_gateway_first_event_seconds",
-                  inSeconds(end.FirstEvent), labels);
+                  toSeconds(result.TimeToFirstEvent), labels);
   metrics.observe("drumlanding_gateway_longest_pause_seconds",
-                  inSeconds(end.LongestPause), labels);
-  metrics.observe("drumlanding_gateway_stream_seconds", inSeconds(end.Took),
-                  labels);
+                  toSeconds(result.MaxPause), labels);
+  metrics.observe("drumlanding_gateway_stream_seconds",
+                  toSeconds(result.Elapsed), labels);
 }
 
-void countMove(base::Metrics &metrics, std::string_view step, bool isDone) {
+void countMigrationStep(base::Metrics &metrics, std::string_view step,
+                        bool isDone) {
   metrics.count("drumlanding_gateway_moves_total",
-                {{"step", std::string(step)}, {"done", text(isDone)}});
+                {{"step", std::string(step)}, {"done", boolLabel(isDone)}});
 }
 
 void countRetry(base::Metrics &metrics, std::string_view service,
                 bool isGranted) {
   metrics.count(
       "drumlanding_gateway_retries_total",
-      {{"service", std::string(service)}, {"granted", text(isGranted)}});
+      {{"service", std::string(service)}, {"granted", boolLabel(isGranted)}});
 }
 
-void countStoreCall(base::Metrics &metrics, std::string_view what,
+void countStoreCall(base::Metrics &metrics, std::string_view resource,
                     bool isAnswered) {
-  metrics.count("drumlanding_platform_calls_total",
-                {{"call", std::string(what)}, {"answered", text(isAnswered)}});
+  metrics.count(
+      "drumlanding_platform_calls_total",
+      {{"call", std::string(resource)}, {"answered", boolLabel(isAnswered)}});
 }
 
 namespace {
 
 /// Sets the gauges of what the gateway knows now.
-void setGauges(World &world) {
-  const base::Instant now = world.now();
-  base::Metrics &metrics = world.Metrics;
+void updateGauges(GatewayContext &ctx) {
+  const base::Instant now = ctx.now();
+  base::Metrics &metrics = ctx.Metrics;
   int leaving = 0;
-  int avoided = 0;
+  int ejected = 0;
   int ready = 0;
-  for (const Server *server : world.Servers.all()) {
+  for (const Server *server : ctx.Servers.all()) {
     if (server->IsLeaving)
       ++leaving;
     else if (now < server->AvoidUntil)
-      ++avoided;
+      ++ejected;
     else
       ++ready;
   }
@@ -77,25 +79,25 @@
   };
   set("ready", ready);
   set("leaving", leaving);
-  set("avoided", avoided);
-  metrics.set("drumlanding_gateway_open_requests", world.Open);
+  set("avoided", ejected);
+  metrics.set("drumlanding_gateway_open_requests", ctx.OpenRequests);
   metrics.set("drumlanding_gateway_peers",
-              static_cast<double>(world.Others.live(now).size()));
+              static_cast<double>(ctx.GatewayPeers.live(now).size()));
   metrics.set("drumlanding_gateway_list_age_seconds",
-              inSeconds(now - world.ListFrom));
+              toSeconds(now - ctx.ListConfirmedAt));
   metrics.set("drumlanding_gateway_config_age_seconds",
-              inSeconds(now - world.ConfigFrom));
+              toSeconds(now - ctx.ConfigConfirmedAt));
   metrics.set("drumlanding_gateway_log_lines_dropped",
-              static_cast<double>(world.Log.dropped()));
+              static_cast<double>(ctx.Log.dropped()));
 }
 
 } // namespace
 
-std::optional<http::Response> metricsPage(World &world,
+std::optional<http::Response> metricsPage(GatewayContext &ctx,
                                           const http::Request &request) {
-  setGauges(world);
-  const auto isReady = [&world] { return world.isReady(); };
-  return daemon::operatorsPage(request, world.Metrics, isReady);
+  updateGauges(ctx);
+  const auto isReady = [&ctx] { return ctx.isReady(); };
+  return daemon::operatorsPage(request, ctx.Metrics, isReady);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gateway-metrics.h
+++ b/src/gateway/gateway-metrics.h
@@ -2,45 +2,46 @@
 /// and labels, in one place.
 #pragma once
 
-#include "world.h"
+#include "gateway-context.h"
 
 #include <optional>
 #include <string_view>
 
 namespace drumlanding::gateway {
 
-/// How a call ended for its caller.
-struct CallEnd {
+/// Outcome a call ended for its caller.
+struct CallResult {
   std::string_view Route;
   /// 0 when the caller left before an answer.
   int Status = 0;
-  base::Duration Took{0};
+  base::Duration Elapsed{0};
 };
 
-/// How a stream ended for its caller.
-struct StreamEnd {
+/// Outcome a stream ended for its caller.
+struct StreamResult {
   std::string_view Route;
-  std::string_view How;
+  std::string_view Outcome;
   /// From the request to the first event; 0 when none came.
-  base::Duration FirstEvent{0};
-  base::Duration LongestPause{0};
-  base::Duration Took{0};
+  base::Duration TimeToFirstEvent{0};
+  base::Duration MaxPause{0};
+  base::Duration Elapsed{0};
 };
 
-void countCall(base::Metrics &metrics, const CallEnd &end);
-void countStream(base::Metrics &metrics, const StreamEnd &end);
+void countCall(base::Metrics &metrics, const CallResult &result);
+void countStream(base::Metrics &metrics, const StreamResult &result);
 /// Counts a step of a move: "begun", "copied", "continued".
-void countMove(base::Metrics &metrics, std::string_view step, bool isDone);
+void countMigrationStep(base::Metrics &metrics, std::string_view step,
+                        bool isDone);
 /// Counts a second send that was asked of the retry budget.
 void countRetry(base::Metrics &metrics, std::string_view service,
                 bool isGranted);
 
 /// Counts a call to the store for "config" or "servers".
-void countStoreCall(base::Metrics &metrics, std::string_view what,
+void countStoreCall(base::Metrics &metrics, std::string_view resource,
                     bool isAnswered);
 
 /// Answers /metrics, /healthz and /readyz; none for any other path.
-std::optional<http::Response> metricsPage(World &world,
+std::optional<http::Response> metricsPage(GatewayContext &ctx,
                                           const http::Request &request);
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gossip-messages.cc
+++ b/src/gateway/gossip-messages.cc
@@ -44,10 +44,10 @@
   return out;
 }
 
-wire::GoneServer toWire(const GoneServer &gone) {
+wire::GoneServer toWire(const GoneServer &removed) {
   wire::GoneServer out;
-  out.set_id(gone.Id);
-  out.set_revision(gone.Revision);
+  out.set_id(removed.Id);
+  out.set_revision(removed.Revision);
   return out;
 }
 
@@ -57,19 +57,19 @@
   out.set_revision(list.Revision);
   for (const ListedServer &server : list.Servers)
     *out.add_servers() = toWire(server);
-  for (const GoneServer &gone : list.Gone)
-    *out.add_gone() = toWire(gone);
+  for (const GoneServer &removed : list.Gone)
+    *out.add_gone() = toWire(removed);
   return out;
 }
 
-GoneServer fromWire(const wire::GoneServer &gone) {
-  return {gone.id(), gone.revision()};
+GoneServer fromWire(const wire::GoneServer &removed) {
+  return {removed.id(), removed.revision()};
 }
 
 ServerList fromWire(const wire::ServerList &list) {
   ServerList out{list.revision(), fromWire(list.servers()), {}};
-  for (const wire::GoneServer &gone : list.gone())
-    out.Gone.push_back(fromWire(gone));
+  for (const wire::GoneServer &removed : list.gone())
+    out.Gone.push_back(fromWire(removed));
   return out;
 }
 
--- a/src/gateway/gossip-messages.h
+++ b/src/gateway/gossip-messages.h
@@ -19,8 +19,8 @@
 std::vector<ListedServer>
 fromWire(const google::protobuf::RepeatedPtrField<wire::Server> &servers);
 
-wire::GoneServer toWire(const GoneServer &gone);
-GoneServer fromWire(const wire::GoneServer &gone);
+wire::GoneServer toWire(const GoneServer &removed);
+GoneServer fromWire(const wire::GoneServer &removed);
 
 wire::ServerList toWire(const ServerList &list, base::milliseconds age);
 ServerList fromWire(const wire::ServerList &list);
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -19,117 +19,118 @@
 using daemon::sleepFor;
 
 /// How often each gateway tells what it knows when nothing happens.
-constexpr milliseconds TellEvery{500};
+constexpr milliseconds FullStateInterval{500};
 /// News go out together after this short time.
-constexpr milliseconds GatherNews{4};
+constexpr milliseconds DeltaBatchDelay{4};
 /// How often it is checked whether another gateway knows more, and whether
 /// something has become old.
-constexpr milliseconds CatchUpEvery{200};
-constexpr milliseconds FetchLimit{1'000};
+constexpr milliseconds CheckInterval{200};
+constexpr milliseconds FetchTimeout{1'000};
 /// One message in so many carries the addresses of the live gateways.
-constexpr std::uint64_t MessagesPerPeerList = 4;
+constexpr std::uint64_t FullStatesPerPeerList = 4;
 /// Changes of the list that fit into a datagram beside all else; after more,
 /// the others fetch the whole.
-constexpr std::size_t MostListNews = 200;
+constexpr std::size_t MaxListChanges = 200;
 constexpr std::string_view ConfigPath = "/config";
 constexpr std::string_view ServersPath = "/servers";
-constexpr int Fine = 200;
+constexpr int HttpOk = 200;
 
 } // namespace
 
-Gossip::Gossip(World &world) : W(world), NextTell(world.Io) {}
+Gossip::Gossip(GatewayContext &ctx) : Ctx(ctx), SendTimer(ctx.Io) {}
 
-base::Result<std::unique_ptr<Gossip>> Gossip::start(World &world) {
-  std::unique_ptr<Gossip> gossip(new Gossip(world));
+base::Result<std::unique_ptr<Gossip>> Gossip::start(GatewayContext &ctx) {
+  std::unique_ptr<Gossip> gossip(new Gossip(ctx));
   Gossip &g = *gossip;
-  auto datagrams = Datagrams::open(world.Io, world.Settings.ControlListen);
+  auto datagrams = Datagrams::open(ctx.Io, ctx.Settings.ControlListen);
   if (!ok(datagrams))
     return error(datagrams);
   g.Socket = std::move(value(datagrams));
-  auto control =
-      http::Server::listen(world.Io, world.Settings.ControlListen, {},
-                           [&g](http::Request r, http::Exchange &x) {
-                             return g.serve(std::move(r), x);
-                           });
+  auto control = http::Server::listen(ctx.Io, ctx.Settings.ControlListen, {},
+                                      [&g](http::Request r, http::Exchange &x) {
+                                        return g.serve(std::move(r), x);
+                                      });
   if (!ok(control))
     return error(control);
-  g.Control = std::move(value(control));
-  world.TellPeers = [&g] { g.tellSoon(); };
-  const auto take = [&g](std::string_view bytes,
-                         const Datagrams::Sender &from) {
-    g.take(bytes, from);
+  g.ControlServer = std::move(value(control));
+  ctx.NotifyPeers = [&g] { g.scheduleSend(); };
+  const auto onDatagram = [&g](std::string_view bytes,
+                               const Datagrams::Sender &from) {
+    g.handleDatagram(bytes, from);
   };
-  asio::co_spawn(world.Io, g.Socket->receive(take), asio::detached);
-  world.Servers.OnUnverified = [&g](const Server &server) {
-    g.askBeside(server);
+  asio::co_spawn(ctx.Io, g.Socket->receive(onDatagram), asio::detached);
+  ctx.Servers.OnUnverified = [&g](const Server &server) {
+    g.requestSidecarNotice(server);
   };
-  asio::co_spawn(world.Io, g.tell(), asio::detached);
-  asio::co_spawn(world.Io, g.tick(), asio::detached);
-  asio::co_spawn(world.Io, g.catchUp(), asio::detached);
+  asio::co_spawn(ctx.Io, g.sendLoop(), asio::detached);
+  asio::co_spawn(ctx.Io, g.tickLoop(), asio::detached);
+  asio::co_spawn(ctx.Io, g.fetchLoop(), asio::detached);
   return gossip;
 }
 
-void Gossip::tellSoon() {
-  if (IsTellDue)
+void Gossip::scheduleSend() {
+  if (IsSendDue)
     return;
-  IsTellDue = true;
-  NextTell.expires_after(GatherNews);
+  IsSendDue = true;
+  SendTimer.expires_after(DeltaBatchDelay);
 }
 
-asio::awaitable<void> Gossip::tell() {
+asio::awaitable<void> Gossip::sendLoop() {
   for (;;) {
-    if (!IsTellDue)
-      NextTell.expires_after(TellEvery);
+    if (!IsSendDue)
+      SendTimer.expires_after(FullStateInterval);
     error_code ec;
-    co_await NextTell.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    co_await SendTimer.async_wait(
+        asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
-      continue; // news came: the timer was set anew
-    IsTellDue = false;
-    tellAll();
+      continue; // delta came: the timer was set anew
+    IsSendDue = false;
+    sendUpdate();
   }
 }
 
 /// Tells all that this gateway does every half second, and between only what
 /// is new: the links of small VMs are slow.
-void Gossip::tellAll() {
-  const base::Instant now = W.now();
-  wire::Gossip message = greeting();
-  const std::vector<LedgerRun> runs = W.Runs.ownRuns();
-  const RunNews news = Told.newsOf(runs);
-  if (now - ToldAllAt >= TellEvery) {
-    ToldAllAt = now;
-    addAll(message, runs);
+void Gossip::sendUpdate() {
+  const base::Instant now = Ctx.now();
+  wire::Gossip message = makeStatusMessage();
+  const std::vector<LedgerRun> runs = Ctx.Runs.ownRuns();
+  const RunNews delta = RunDeltas.newsOf(runs);
+  if (now - FullStateSentAt >= FullStateInterval) {
+    FullStateSentAt = now;
+    addFullState(message, runs);
   } else {
     message.set_is_news(true);
-    for (const LedgerRun &run : news.Changed)
+    for (const LedgerRun &run : delta.Changed)
       *message.add_runs() = toWire(run);
-    for (const RunId id : news.Ended)
+    for (const RunId id : delta.Ended)
       message.add_ended_runs(id);
   }
-  addListNews(message);
-  send(message);
+  addListDelta(message);
+  broadcast(message);
 }
 
 /// Who this gateway is, and which config, list and leaving servers it knows.
-wire::Gossip Gossip::greeting() {
-  const base::Instant now = W.now();
+wire::Gossip Gossip::makeStatusMessage() {
+  const base::Instant now = Ctx.now();
   wire::Gossip message;
-  message.set_name(W.Settings.Name);
-  message.set_address(base::toString(W.Settings.ControlListen));
-  message.set_incarnation(W.Incarnation);
-  message.set_config_version(W.Routes ? W.Routes->config().Version : 0);
-  const base::Instant from = W.hasStoreContact() ? W.ListReadAt : W.ListFrom;
+  message.set_name(Ctx.Settings.Name);
+  message.set_address(base::toString(Ctx.Settings.ControlListen));
+  message.set_incarnation(Ctx.Incarnation);
+  message.set_config_version(Ctx.Routes ? Ctx.Routes->config().Version : 0);
+  const base::Instant from =
+      Ctx.hasStoreContact() ? Ctx.ListReadAt : Ctx.ListConfirmedAt;
   message.set_list_age_ms(static_cast<std::uint64_t>(base::toMs(now - from)));
   message.set_steady_ms(
-      static_cast<std::uint64_t>(base::toMs(now - W.Servers.steadySince())));
-  message.set_list_digest(W.Servers.digest());
-  message.set_watches_list(W.hasStoreContact());
-  for (const ServerLife &life : W.Servers.leaving(now)) {
+      static_cast<std::uint64_t>(base::toMs(now - Ctx.Servers.steadySince())));
+  message.set_list_digest(Ctx.Servers.digest());
+  message.set_watches_list(Ctx.hasStoreContact());
+  for (const ServerLife &life : Ctx.Servers.leaving(now)) {
     wire::ServerLife &out = *message.add_leaving_servers();
     out.set_id(life.Id);
     out.set_born_ms(static_cast<std::uint64_t>(life.BornAt.count()));
   }
-  for (const AvoidedServer &avoided : W.Servers.avoided(now)) {
+  for (const AvoidedServer &avoided : Ctx.Servers.avoided(now)) {
     wire::Avoided &out = *message.add_avoided();
     out.set_server(avoided.Id);
     out.set_broken_answers(static_cast<std::uint32_t>(avoided.BrokenAnswers));
@@ -140,12 +141,12 @@
 }
 
 /// So that the others need not fetch the whole list for each change of it.
-void Gossip::addListNews(wire::Gossip &message) {
-  const std::vector<ServerChange> news = std::move(W.ListNews);
-  W.ListNews.clear();
-  if (news.size() > MostListNews)
+void Gossip::addListDelta(wire::Gossip &message) {
+  const std::vector<ServerChange> delta = std::move(Ctx.PendingListChanges);
+  Ctx.PendingListChanges.clear();
+  if (delta.size() > MaxListChanges)
     return;
-  for (const ServerChange &change : news) {
+  for (const ServerChange &change : delta) {
     if (change.Listed)
       *message.add_changed_servers() = toWire(*change.Listed);
     else
@@ -154,194 +155,200 @@
   }
 }
 
-void Gossip::addAll(wire::Gossip &message, std::span<const LedgerRun> runs) {
+void Gossip::addFullState(wire::Gossip &message,
+                          std::span<const LedgerRun> runs) {
   for (const LedgerRun &run : runs)
     *message.add_runs() = toWire(run);
   // Bytes between zones are paid for: addresses go with a part of the messages.
-  if (Messages++ % MessagesPerPeerList != 0)
+  if (FullStateCount++ % FullStatesPerPeerList != 0)
     return;
-  for (const Peer &peer : W.Others.live(W.now()))
+  for (const Peer &peer : Ctx.GatewayPeers.live(Ctx.now()))
     message.add_peers(base::toString(peer.Address));
 }
 
-void Gossip::send(const wire::Gossip &message) {
+void Gossip::broadcast(const wire::Gossip &message) {
   const std::string bytes = message.SerializeAsString();
-  for (const base::Endpoint &to : W.Others.due(W.now()))
+  for (const base::Endpoint &to : Ctx.GatewayPeers.due(Ctx.now()))
     Socket->send(to, bytes);
 }
 
 void Gossip::announceStop() {
-  wire::Gossip message = greeting();
+  wire::Gossip message = makeStatusMessage();
   message.set_is_last(true);
-  send(message);
+  broadcast(message);
 }
 
 /// Asks the process beside an engine who is there: after a restart of all, the
 /// store lists the engines of before for seconds.
-void Gossip::askBeside(const Server &server) {
-  if (W.Settings.SidecarPort == 0)
+void Gossip::requestSidecarNotice(const Server &server) {
+  if (Ctx.Settings.SidecarPort == 0)
     return;
   const Service *service =
-      W.Routes ? W.Routes->config().service(server.Listed.Service) : nullptr;
+      Ctx.Routes ? Ctx.Routes->config().service(server.Listed.Service)
+                 : nullptr;
   if (service && !service->Engine)
     return;
   wire::Gossip message;
-  message.set_name(W.Settings.Name);
-  message.set_address(base::toString(W.Settings.ControlListen));
-  message.set_incarnation(W.Incarnation);
+  message.set_name(Ctx.Settings.Name);
+  message.set_address(base::toString(Ctx.Settings.ControlListen));
+  message.set_incarnation(Ctx.Incarnation);
   message.set_asks_notice(true);
-  Socket->send({server.Listed.Address.Address, W.Settings.SidecarPort},
+  Socket->send({server.Listed.Address.Address, Ctx.Settings.SidecarPort},
                message.SerializeAsString());
 }
 
 /// Takes a sidecar's notice and answers with the gateways' addresses.
-void Gossip::takeNotice(const wire::Gossip &message,
-                        const Datagrams::Sender &from) {
-  const base::Instant now = W.now();
-  W.Servers.applyNotice(now, fromWire(message.notice()));
+void Gossip::handleSidecarNotice(const wire::Gossip &message,
+                                 const Datagrams::Sender &from) {
+  const base::Instant now = Ctx.now();
+  Ctx.Servers.applyNotice(now, fromWire(message.notice()));
   wire::Gossip answer;
-  answer.set_name(W.Settings.Name);
-  answer.set_address(base::toString(W.Settings.ControlListen));
-  answer.set_incarnation(W.Incarnation);
-  for (const Peer &peer : W.Others.live(now))
+  answer.set_name(Ctx.Settings.Name);
+  answer.set_address(base::toString(Ctx.Settings.ControlListen));
+  answer.set_incarnation(Ctx.Incarnation);
+  for (const Peer &peer : Ctx.GatewayPeers.live(now))
     answer.add_peers(base::toString(peer.Address));
   Socket->answer(from, answer.SerializeAsString());
 }
 
-void Gossip::take(std::string_view datagram, const Datagrams::Sender &from) {
+void Gossip::handleDatagram(std::string_view datagram,
+                            const Datagrams::Sender &from) {
   wire::Gossip message;
   if (!message.ParseFromArray(datagram.data(),
                               static_cast<int>(datagram.size())))
     return;
-  const base::Instant now = W.now();
+  const base::Instant now = Ctx.now();
   if (message.has_notice()) {
-    takeNotice(message, from);
+    handleSidecarNotice(message, from);
     return;
   }
-  const Peers::Heard heard = W.Others.heard(now, message);
-  if (heard == Peers::Heard::Nothing)
+  const Peers::Heard senderState = Ctx.GatewayPeers.heard(now, message);
+  if (senderState == Peers::Heard::Nothing)
     return;
   // Who has just started knows nothing yet.
-  if (heard == Peers::Heard::Newcomer && !message.is_last()) {
-    wire::Gossip all = greeting();
-    addAll(all, W.Runs.ownRuns());
+  if (senderState == Peers::Heard::Newcomer && !message.is_last()) {
+    wire::Gossip all = makeStatusMessage();
+    addFullState(all, Ctx.Runs.ownRuns());
     Socket->answer(from, all.SerializeAsString());
   }
-  takeRuns(now, message);
-  takeServers(now, message);
+  applyRuns(now, message);
+  applyServers(now, message);
   adoptListAge(now, message);
 }
 
-void Gossip::takeRuns(base::Instant now, const wire::Gossip &message) {
+void Gossip::applyRuns(base::Instant now, const wire::Gossip &message) {
   std::vector<LedgerRun> runs;
   for (const wire::Run &run : message.runs())
     runs.push_back(fromWire(run));
   if (message.is_news())
-    W.Runs.takePeerNews(
+    Ctx.Runs.takePeerNews(
         now, message.address(), runs,
         {message.ended_runs().begin(), message.ended_runs().end()});
   else
-    W.Runs.takePeer(now, message.address(), std::move(runs));
+    Ctx.Runs.takePeer(now, message.address(), std::move(runs));
 }
 
-void Gossip::takeServers(base::Instant now, const wire::Gossip &message) {
+void Gossip::applyServers(base::Instant now, const wire::Gossip &message) {
   for (const wire::ServerLife &life : message.leaving_servers())
-    W.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
+    Ctx.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
   for (const wire::Avoided &avoided : message.avoided())
-    W.Servers.applyAvoided(now, {avoided.server(),
-                                 static_cast<int>(avoided.broken_answers()),
-                                 milliseconds(avoided.left_ms()),
-                                 milliseconds(avoided.born_ms())});
+    Ctx.Servers.applyAvoided(now, {avoided.server(),
+                                   static_cast<int>(avoided.broken_answers()),
+                                   milliseconds(avoided.left_ms()),
+                                   milliseconds(avoided.born_ms())});
   // An outage of the store is one that affects every gateway, not a loss of
   // this gateway's own path to it.
   if (message.watches_list())
-    W.Servers.noteStoreContact(now - milliseconds(message.list_age_ms()),
-                               now - milliseconds(message.steady_ms()));
+    Ctx.Servers.noteStoreContact(now - milliseconds(message.list_age_ms()),
+                                 now - milliseconds(message.steady_ms()));
   for (const ListedServer &listed : fromWire(message.changed_servers()))
-    W.Servers.put(now, listed, Evidence::Gateway);
+    Ctx.Servers.put(now, listed, Evidence::Gateway);
   for (const wire::GoneServer &gone : message.gone_servers())
-    W.Servers.remove(now, fromWire(gone), Evidence::Gateway);
+    Ctx.Servers.remove(now, fromWire(gone), Evidence::Gateway);
 }
 
 /// A gateway that follows the store's list has the same one: it is as fresh
 /// as theirs.
 void Gossip::adoptListAge(base::Instant now, const wire::Gossip &message) {
-  if (!message.watches_list() || W.hasStoreContact() ||
-      message.list_digest() != W.Servers.digest())
+  if (!message.watches_list() || Ctx.hasStoreContact() ||
+      message.list_digest() != Ctx.Servers.digest())
     return;
-  W.ListFrom = std::max(W.ListFrom, now - milliseconds(message.list_age_ms()));
+  Ctx.ListConfirmedAt =
+      std::max(Ctx.ListConfirmedAt, now - milliseconds(message.list_age_ms()));
 }
 
-asio::awaitable<void> Gossip::tick() {
+asio::awaitable<void> Gossip::tickLoop() {
   for (;;) {
-    co_await sleepFor(CatchUpEvery);
-    const base::Instant now = W.now();
-    W.Runs.tick(now);
-    W.Servers.tick(now);
-    W.WatchesList = W.Others.shouldWatchList(now);
+    co_await sleepFor(CheckInterval);
+    const base::Instant now = Ctx.now();
+    Ctx.Runs.tick(now);
+    Ctx.Servers.tick(now);
+    Ctx.WatchesList = Ctx.GatewayPeers.shouldWatchList(now);
   }
 }
 
-asio::awaitable<void> Gossip::catchUp() {
+asio::awaitable<void> Gossip::fetchLoop() {
   for (;;) {
-    co_await sleepFor(CatchUpEvery);
-    const base::Instant now = W.now();
-    const std::uint64_t version = W.Routes ? W.Routes->config().Version : 0;
-    if (const auto peer = W.Others.withNewerConfig(now, version))
+    co_await sleepFor(CheckInterval);
+    const base::Instant now = Ctx.now();
+    const std::uint64_t version = Ctx.Routes ? Ctx.Routes->config().Version : 0;
+    if (const auto peer = Ctx.GatewayPeers.withNewerConfig(now, version))
       co_await fetchConfig(*peer);
-    else if (const auto newer = W.Others.withNewerList(now, W.ListFrom))
+    else if (const auto newer =
+                 Ctx.GatewayPeers.withNewerList(now, Ctx.ListConfirmedAt))
       co_await fetchServers(*newer);
   }
 }
 
-void Gossip::fetchFailed(const Peer &from, std::string_view what) {
-  W.Others.failed(W.now(), from);
-  W.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
+void Gossip::recordFetchFailure(const Peer &from, std::string_view what) {
+  Ctx.GatewayPeers.failed(Ctx.now(), from);
+  Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
 }
 
 asio::awaitable<void> Gossip::fetchConfig(Peer from) {
   http::Request request{"GET", std::string(ConfigPath), {}, {}};
   http::Fetched fetched =
-      co_await http::fetch(from.Address, std::move(request), FetchLimit);
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != Fine) {
-    fetchFailed(from, "config");
+      co_await http::fetch(from.Address, std::move(request), FetchTimeout);
+  if (!ok(fetched.Answer) || value(fetched.Answer).Status != HttpOk) {
+    recordFetchFailure(from, "config");
     co_return;
   }
-  W.takeConfig(std::move(value(fetched.Answer).Body), from.Name);
+  Ctx.applyConfig(std::move(value(fetched.Answer).Body), from.Name);
 }
 
 asio::awaitable<void> Gossip::fetchServers(Peer from) {
   http::Request request{"GET", std::string(ServersPath), {}, {}};
   http::Fetched fetched =
-      co_await http::fetch(from.Address, std::move(request), FetchLimit);
+      co_await http::fetch(from.Address, std::move(request), FetchTimeout);
   wire::ServerList list;
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != Fine ||
+  if (!ok(fetched.Answer) || value(fetched.Answer).Status != HttpOk ||
       !list.ParseFromString(value(fetched.Answer).Body)) {
-    fetchFailed(from, "servers");
+    recordFetchFailure(from, "servers");
     co_return;
   }
-  const base::Instant now = W.now();
+  const base::Instant now = Ctx.now();
   const base::Instant listFrom = now - milliseconds(list.age_ms());
-  W.Servers.replaceAll(now, fromWire(list), Evidence::Gateway);
-  W.ListRevision = std::max<std::uint64_t>(W.ListRevision, list.revision());
-  W.ListFrom = std::max(W.ListFrom, listFrom);
-  W.Log.write("servers-from-peer", {{"peer", from.Name},
-                                    {"servers", list.servers_size()},
-                                    {"age_ms", list.age_ms()}});
+  Ctx.Servers.replaceAll(now, fromWire(list), Evidence::Gateway);
+  Ctx.ListRevision = std::max<std::uint64_t>(Ctx.ListRevision, list.revision());
+  Ctx.ListConfirmedAt = std::max(Ctx.ListConfirmedAt, listFrom);
+  Ctx.Log.write("servers-from-peer", {{"peer", from.Name},
+                                      {"servers", list.servers_size()},
+                                      {"age_ms", list.age_ms()}});
 }
 
 asio::awaitable<void> Gossip::serve(http::Request request, http::Exchange &x) {
   http::Response response{404, "text/plain", "no such page\n", {}};
-  if (auto page = metricsPage(W, request)) {
+  if (auto page = metricsPage(Ctx, request)) {
     response = std::move(*page);
-  } else if (request.path() == ConfigPath && W.Routes) {
-    response = {Fine, "application/octet-stream", W.ConfigText, {}};
+  } else if (request.path() == ConfigPath && Ctx.Routes) {
+    response = {HttpOk, "application/octet-stream", Ctx.ConfigText, {}};
   } else if (request.path() == ServersPath) {
-    const auto age = milliseconds(base::toMs(W.now() - W.ListFrom));
-    ServerList known = W.Servers.list();
-    known.Revision = W.ListRevision;
+    const auto age = milliseconds(base::toMs(Ctx.now() - Ctx.ListConfirmedAt));
+    ServerList known = Ctx.Servers.list();
+    known.Revision = Ctx.ListRevision;
     const wire::ServerList list = toWire(known, age);
-    response = {Fine, "application/octet-stream", list.SerializeAsString(), {}};
+    response = {
+        HttpOk, "application/octet-stream", list.SerializeAsString(), {}};
   }
   co_await x.send(std::move(response));
 }
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -2,7 +2,7 @@
 /// they tell, and fetches from them what the store keeps from this one.
 #pragma once
 
-#include "world.h"
+#include "gateway-context.h"
 
 #include "drumlanding/gateway/datagrams.h"
 #include "drumlanding/gateway/told-runs.h"
@@ -17,7 +17,7 @@
 
 class Gossip {
 public:
-  static base::Result<std::unique_ptr<Gossip>> start(World &world);
+  static base::Result<std::unique_ptr<Gossip>> start(GatewayContext &ctx);
 
   /// Answers other gateways' questions at the control address.
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
@@ -26,37 +26,38 @@
   void announceStop();
 
 private:
-  explicit Gossip(World &world);
-  asio::awaitable<void> tell();
-  void tellSoon();
-  void tellAll();
-  wire::Gossip greeting();
-  void addListNews(wire::Gossip &message);
-  void addAll(wire::Gossip &message, std::span<const LedgerRun> runs);
-  void send(const wire::Gossip &message);
-  void take(std::string_view datagram, const Datagrams::Sender &from);
-  void askBeside(const Server &server);
-  void takeNotice(const wire::Gossip &message, const Datagrams::Sender &from);
-  void takeRuns(base::Instant now, const wire::Gossip &message);
-  void takeServers(base::Instant now, const wire::Gossip &message);
+  explicit Gossip(GatewayContext &ctx);
+  asio::awaitable<void> sendLoop();
+  void scheduleSend();
+  void sendUpdate();
+  wire::Gossip makeStatusMessage();
+  void addListDelta(wire::Gossip &message);
+  void addFullState(wire::Gossip &message, std::span<const LedgerRun> runs);
+  void broadcast(const wire::Gossip &message);
+  void handleDatagram(std::string_view datagram, const Datagrams::Sender &from);
+  void requestSidecarNotice(const Server &server);
+  void handleSidecarNotice(const wire::Gossip &message,
+                           const Datagrams::Sender &from);
+  void applyRuns(base::Instant now, const wire::Gossip &message);
+  void applyServers(base::Instant now, const wire::Gossip &message);
   void adoptListAge(base::Instant now, const wire::Gossip &message);
-  asio::awaitable<void> tick();
-  asio::awaitable<void> catchUp();
-  void fetchFailed(const Peer &from, std::string_view what);
+  asio::awaitable<void> tickLoop();
+  asio::awaitable<void> fetchLoop();
+  void recordFetchFailure(const Peer &from, std::string_view what);
   asio::awaitable<void> fetchConfig(Peer from);
   asio::awaitable<void> fetchServers(Peer from);
 
-  World &W;
+  GatewayContext &Ctx;
   std::unique_ptr<Datagrams> Socket;
-  asio::steady_timer NextTell;
+  asio::steady_timer SendTimer;
   /// News are to be told: at the start, that this gateway is there.
-  bool IsTellDue = true;
-  ToldRuns Told;
+  bool IsSendDue = true;
+  ToldRuns RunDeltas;
   /// When all was told last, not only news.
-  base::Instant ToldAllAt{};
+  base::Instant FullStateSentAt{};
   /// Messages with all so far.
-  std::uint64_t Messages = 0;
-  std::unique_ptr<http::Server> Control;
+  std::uint64_t FullStateCount = 0;
+  std::unique_ptr<http::Server> ControlServer;
 };
 
 } // namespace drumlanding::gateway
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -65,18 +65,18 @@
   struct Address {
     std::string_view Flag;
     const std::string &Text;
-    base::Endpoint &Into;
+    base::Endpoint &Target;
   };
   const Address addresses[] = {
       {"--listen", FLAGS_listen, settings.Listen},
       {"--ready_listen", FLAGS_ready_listen, settings.ReadyListen},
       {"--gateway_listen", FLAGS_gateway_listen, settings.ControlListen},
-      {"--platform", FLAGS_platform, settings.Store}};
+      {"--platform", FLAGS_platform, settings.StoreAddress}};
   for (const Address &address : addresses) {
     const auto read = base::parseEndpoint(address.Flag, address.Text);
     if (!ok(read))
       return error(read);
-    address.Into = value(read);
+    address.Target = value(read);
   }
   if (!FLAGS_metrics_listen.empty()) {
     const auto metrics =
@@ -118,62 +118,63 @@
                       toMilliseconds(FLAGS_retry_window_s)};
   if (FLAGS_drain_ms < 100 || FLAGS_drain_ms > 600000)
     return base::invalid("--drain_ms", "must be from 100 to 600000");
-  settings.Drain = base::milliseconds(FLAGS_drain_ms);
+  settings.DrainTime = base::milliseconds(FLAGS_drain_ms);
   if (FLAGS_renewal_ms < 10 || FLAGS_renewal_ms > 600000)
     return base::invalid("--renewal_ms", "must be from 10 to 600000");
   if (FLAGS_config_apply_ms < 100 || FLAGS_config_apply_ms > 600000)
     return base::invalid("--config_apply_ms", "must be from 100 to 600000");
-  settings.ConfigApply = base::milliseconds(FLAGS_config_apply_ms);
-  settings.Renewal = base::milliseconds(FLAGS_renewal_ms);
-  settings.Grace = toMilliseconds(FLAGS_grace_s);
+  settings.MaxConfigApplyTime = base::milliseconds(FLAGS_config_apply_ms);
+  settings.RenewalInterval = base::milliseconds(FLAGS_renewal_ms);
+  settings.TerminationGracePeriod = toMilliseconds(FLAGS_grace_s);
   return settings;
 }
 
 /// Calls back on SIGHUP, and when the settings file has changed by itself.
-class SettingsWatch {
+class SettingsFileWatcher {
 public:
-  SettingsWatch(boost::asio::io_context &io, std::function<void()> changed)
-      : Hangups(io, SIGHUP), Timer(io), Changed(std::move(changed)),
-        ReadAt(writtenAt()) {
+  SettingsFileWatcher(boost::asio::io_context &io,
+                      std::function<void()> changed)
+      : HangupSignals(io, SIGHUP), Timer(io), OnChange(std::move(changed)),
+        LastWriteTime(lastWriteTime()) {
     waitForHangup();
     waitForChange();
   }
 
 private:
-  static constexpr base::milliseconds LookEvery{2'000};
+  static constexpr base::milliseconds PollInterval{2'000};
 
-  static std::filesystem::file_time_type writtenAt() {
+  static std::filesystem::file_time_type lastWriteTime() {
     std::error_code ec;
     return std::filesystem::last_write_time(FLAGS_node_file, ec);
   }
 
   void waitForHangup() {
-    Hangups.async_wait([this](boost::system::error_code ec, int) {
+    HangupSignals.async_wait([this](boost::system::error_code ec, int) {
       if (ec)
         return;
-      ReadAt = writtenAt();
-      Changed();
+      LastWriteTime = lastWriteTime();
+      OnChange();
       waitForHangup();
     });
   }
 
   void waitForChange() {
-    Timer.expires_after(LookEvery);
+    Timer.expires_after(PollInterval);
     Timer.async_wait([this](boost::system::error_code ec) {
       if (ec)
         return;
-      if (const auto at = writtenAt(); at != ReadAt) {
-        ReadAt = at;
-        Changed();
+      if (const auto at = lastWriteTime(); at != LastWriteTime) {
+        LastWriteTime = at;
+        OnChange();
       }
       waitForChange();
     });
   }
 
-  boost::asio::signal_set Hangups;
+  boost::asio::signal_set HangupSignals;
   boost::asio::steady_timer Timer;
-  std::function<void()> Changed;
-  std::filesystem::file_time_type ReadAt;
+  std::function<void()> OnChange;
+  std::filesystem::file_time_type LastWriteTime;
 };
 
 } // namespace
@@ -185,7 +186,7 @@
   boost::asio::io_context io(1);
   // Whoever reads the log may go away.
   std::signal(SIGPIPE, SIG_IGN);
-  const platform::Store store(value(settings).Store);
+  const platform::Store store(value(settings).StoreAddress);
   const base::SystemClock clock;
   auto shell =
       gateway::Shell::start(io, clock, value(settings), platform::makeDialect(),
@@ -195,9 +196,9 @@
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
   stop.async_wait([&](boost::system::error_code ec, int) {
     if (!ec)
-      value(shell)->leave();
+      value(shell)->shutDown();
   });
-  SettingsWatch watch(
+  SettingsFileWatcher watch(
       io, [&] { value(shell)->reload(readGatewaySettings(argc, argv)); });
   io.run();
   // Connections that are still open hold references into the shell.
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -16,31 +16,32 @@
 
 /// The balancer asks every second and needs two answers to take a gateway out;
 /// until then it may hand over new connections.
-constexpr milliseconds BalancerTime{3'000};
-constexpr milliseconds CheckEvery{50};
+constexpr milliseconds BalancerRemovalTime{3'000};
+constexpr milliseconds DrainCheckInterval{50};
 
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
              GatewaySettings settings, Dialect dialect, Source source)
-    : W(io, clock, std::move(settings), std::move(dialect), std::move(source)),
-      Moves(W), Requests(W, Moves) {
-  W.Servers.OnLeaving = [this](const Server &server) {
-    Moves.leave(server);
-    if (W.TellPeers)
-      W.TellPeers();
+    : Ctx(io, clock, std::move(settings), std::move(dialect),
+          std::move(source)),
+      Migrations(Ctx), RequestForwarder(Ctx, Migrations) {
+  Ctx.Servers.OnLeaving = [this](const Server &server) {
+    Migrations.migrateAllFrom(server);
+    if (Ctx.NotifyPeers)
+      Ctx.NotifyPeers();
   };
-  W.Runs.OnChange = [this] { Moves.runsChanged(); };
-  W.Servers.OnOutageOver = [this](base::Duration length) {
-    W.Log.write("store-outage-over", {{"ms", base::toMs(length)}});
+  Ctx.Runs.OnChange = [this] { Migrations.onRunsChanged(); };
+  Ctx.Servers.OnOutageOver = [this](base::Duration length) {
+    Ctx.Log.write("store-outage-over", {{"ms", base::toMs(length)}});
   };
-  W.Servers.OnChange = [this](std::string_view event, Evidence evidence,
-                              const Server &server) {
-    W.Log.write(event, {{"server", server.Listed.Id},
-                        {"evidence", toString(evidence)},
-                        {"service", server.Listed.Service},
-                        {"address", base::toString(server.Listed.Address)},
-                        {"zone", server.Listed.Zone}});
+  Ctx.Servers.OnChange = [this](std::string_view event, Evidence evidence,
+                                const Server &server) {
+    Ctx.Log.write(event, {{"server", server.Listed.Id},
+                          {"evidence", toString(evidence)},
+                          {"service", server.Listed.Service},
+                          {"address", base::toString(server.Listed.Address)},
+                          {"zone", server.Listed.Zone}});
   };
 }
 
@@ -51,62 +52,62 @@
       io, clock, std::move(settings), std::move(dialect), std::move(source)));
   if (auto r = shell->listen(); !ok(r))
     return error(r);
-  asio::co_spawn(io, watchConfig(shell->W), asio::detached);
-  asio::co_spawn(io, watchServers(shell->W), asio::detached);
-  shell->W.Log.write("started", {{"zone", shell->W.Settings.Zone},
-                                 {"incarnation", shell->W.Incarnation}});
+  asio::co_spawn(io, watchConfig(shell->Ctx), asio::detached);
+  asio::co_spawn(io, watchServers(shell->Ctx), asio::detached);
+  shell->Ctx.Log.write("started", {{"zone", shell->Ctx.Settings.Zone},
+                                   {"incarnation", shell->Ctx.Incarnation}});
   return shell;
 }
 
 base::Result<base::Done> Shell::listen() {
-  auto talk = Gossip::start(W);
+  auto talk = Gossip::start(Ctx);
   if (!ok(talk))
     return error(talk);
-  Talk = std::move(value(talk));
+  PeerGossip = std::move(value(talk));
   http::ServerOptions options;
   options.CurrentLimits = [this] {
-    return W.Routes ? W.Routes->config().Limits : http::CallerLimits();
+    return Ctx.Routes ? Ctx.Routes->config().Limits : http::CallerLimits();
   };
   auto callers =
-      http::Server::listen(W.Io, W.Settings.Listen, std::move(options),
+      http::Server::listen(Ctx.Io, Ctx.Settings.Listen, std::move(options),
                            [this](http::Request r, http::Exchange &x) {
-                             return Requests.serve(std::move(r), x);
+                             return RequestForwarder.serve(std::move(r), x);
                            });
   if (!ok(callers))
     return error(callers);
-  Callers = std::move(value(callers));
-  auto ready = http::Server::listen(W.Io, W.Settings.ReadyListen, {},
+  CallerServer = std::move(value(callers));
+  auto ready = http::Server::listen(Ctx.Io, Ctx.Settings.ReadyListen, {},
                                     [this](http::Request r, http::Exchange &x) {
-                                      return answerReady(std::move(r), x);
+                                      return serveReadiness(std::move(r), x);
                                     });
   if (!ok(ready))
     return error(ready);
-  Ready = std::move(value(ready));
+  ReadyServer = std::move(value(ready));
   return listenForMetrics();
 }
 
 base::Result<base::Done> Shell::listenForMetrics() {
-  if (!W.Settings.MetricsListen)
+  if (!Ctx.Settings.MetricsListen)
     return base::Done{};
   const auto answer = [this](http::Request r,
                              http::Exchange &x) -> asio::awaitable<void> {
-    auto page = metricsPage(W, r);
+    auto page = metricsPage(Ctx, r);
     http::Response none{404, "text/plain", "no such page\n", {}};
     co_await x.send(std::move(page ? *page : none));
   };
   auto pages =
-      http::Server::listen(W.Io, *W.Settings.MetricsListen, {}, answer);
+      http::Server::listen(Ctx.Io, *Ctx.Settings.MetricsListen, {}, answer);
   if (!ok(pages))
     return error(pages);
-  MetricsPages = std::move(value(pages));
+  MetricsServer = std::move(value(pages));
   return base::Done{};
 }
 
-asio::awaitable<void> Shell::answerReady(http::Request request,
-                                         http::Exchange &x) {
+asio::awaitable<void> Shell::serveReadiness(http::Request request,
+                                            http::Exchange &x) {
   http::Response response{404, "text/plain", "no such page\n", {}};
-  if (request.path() == W.Words.ReadyPath)
-    response = W.isReady()
+  if (request.path() == Ctx.Codec.ReadyPath)
+    response = Ctx.isReady()
                    ? http::Response{200, "text/plain", "ready\n", {}}
                    : http::Response{503, "text/plain", "not ready\n", {}};
   co_await x.send(std::move(response));
@@ -114,42 +115,42 @@
 
 void Shell::reload(const base::Result<GatewaySettings> &read) {
   if (!ok(read)) {
-    W.Log.write("settings-rejected", {{"why", describe(error(read))}});
+    Ctx.Log.write("settings-rejected", {{"why", describe(error(read))}});
     return;
   }
   const GatewaySettings &fresh = value(read);
-  const bool needsRestart = fresh.Listen != W.Settings.Listen ||
-                            fresh.ReadyListen != W.Settings.ReadyListen ||
-                            fresh.ControlListen != W.Settings.ControlListen ||
-                            fresh.Store != W.Settings.Store;
-  W.Settings.Retries = fresh.Retries;
-  W.Settings.Drain = fresh.Drain;
-  W.Settings.ConfigApply = fresh.ConfigApply;
-  W.Settings.Grace = fresh.Grace;
-  W.Budget.setOptions(fresh.Retries);
-  W.Log.write("settings-taken", {{"needs_restart", needsRestart}});
+  const bool needsRestart = fresh.Listen != Ctx.Settings.Listen ||
+                            fresh.ReadyListen != Ctx.Settings.ReadyListen ||
+                            fresh.ControlListen != Ctx.Settings.ControlListen ||
+                            fresh.StoreAddress != Ctx.Settings.StoreAddress;
+  Ctx.Settings.Retries = fresh.Retries;
+  Ctx.Settings.DrainTime = fresh.DrainTime;
+  Ctx.Settings.MaxConfigApplyTime = fresh.MaxConfigApplyTime;
+  Ctx.Settings.TerminationGracePeriod = fresh.TerminationGracePeriod;
+  Ctx.Budget.setOptions(fresh.Retries);
+  Ctx.Log.write("settings-taken", {{"needs_restart", needsRestart}});
 }
 
-void Shell::leave() {
-  if (W.IsLeaving)
+void Shell::shutDown() {
+  if (Ctx.IsLeaving)
     return;
-  W.IsLeaving = true;
-  W.LeavingSince = W.now();
-  W.Log.write("stopping", {{"open", W.Open}});
-  Callers->closeAfterAnswers();
-  asio::co_spawn(W.Io, windDown(), asio::detached);
+  Ctx.IsLeaving = true;
+  Ctx.LeavingSince = Ctx.now();
+  Ctx.Log.write("stopping", {{"open", Ctx.OpenRequests}});
+  CallerServer->closeAfterAnswers();
+  asio::co_spawn(Ctx.Io, drainAndStop(), asio::detached);
 }
 
-asio::awaitable<void> Shell::windDown() {
-  co_await sleepFor(BalancerTime);
-  Callers->stopAccepting();
+asio::awaitable<void> Shell::drainAndStop() {
+  co_await sleepFor(BalancerRemovalTime);
+  CallerServer->stopAccepting();
   do {
-    Callers->closeIdle();
-    co_await sleepFor(CheckEvery);
-  } while (W.Open > 0 && W.now() < W.stopAt());
-  Talk->announceStop();
-  W.Log.write("stopped", {{"open", W.Open}});
-  W.Io.stop();
+    CallerServer->closeIdle();
+    co_await sleepFor(DrainCheckInterval);
+  } while (Ctx.OpenRequests > 0 && Ctx.now() < Ctx.stopDeadline());
+  PeerGossip->announceStop();
+  Ctx.Log.write("stopped", {{"open", Ctx.OpenRequests}});
+  Ctx.Io.stop();
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/shell.h
+++ b/src/gateway/shell.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "forwarder.h"
+#include "gateway-context.h"
 #include "gossip.h"
-#include "mover.h"
-#include "world.h"
+#include "migrator.h"
 
 namespace drumlanding::gateway {
 
@@ -19,26 +19,27 @@
   void reload(const base::Result<GatewaySettings> &settings);
 
   /// Takes no new callers, lets requests end, and stops the context.
-  void leave();
+  void shutDown();
 
   /// What this gateway knows and does, for tests.
-  const World &world() const { return W; }
+  const GatewayContext &context() const { return Ctx; }
 
 private:
   Shell(asio::io_context &io, const base::Clock &clock,
         GatewaySettings settings, Dialect dialect, Source source);
   base::Result<base::Done> listen();
   base::Result<base::Done> listenForMetrics();
-  asio::awaitable<void> answerReady(http::Request request, http::Exchange &x);
-  asio::awaitable<void> windDown();
-
-  World W;
-  Mover Moves;
-  Forwarder Requests;
-  std::unique_ptr<Gossip> Talk;
-  std::unique_ptr<http::Server> Callers;
-  std::unique_ptr<http::Server> Ready;
-  std::unique_ptr<http::Server> MetricsPages;
+  asio::awaitable<void> serveReadiness(http::Request request,
+                                       http::Exchange &x);
+  asio::awaitable<void> drainAndStop();
+
+  GatewayContext Ctx;
+  Migrator Migrations;
+  Forwarder RequestForwarder;
+  std::unique_ptr<Gossip> PeerGossip;
+  std::unique_ptr<http::Server> CallerServer;
+  std::unique_ptr<http::Server> ReadyServer;
+  std::unique_ptr<http::Server> MetricsServer;
 };
 
 } // namespace drumlanding::gateway
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -15,149 +15,150 @@
 using base::milliseconds;
 using daemon::sleepFor;
 
-/// A watch that says nothing for so long is asked anew, so that a connection
-/// that died in silence is noticed while there is time to read the config again
-/// and to tell the others before it has to be in force.
-constexpr milliseconds ShortestWatchWait{100};
-constexpr milliseconds LongestWatchWait{4'000};
-constexpr double WatchPart = 0.4;
+/// A watch that says nothing for so long is asked anew, so that a
+/// connection that died in silence is noticed while there is time to read the
+/// config again and to tell the others before it has to be in force.
+constexpr milliseconds MinConfigWatchWait{100};
+constexpr milliseconds MaxConfigWatchWait{4'000};
+constexpr double ConfigWatchWaitRatio = 0.4;
 /// The same for the list of servers, whose renewals come all the time.
 constexpr milliseconds ListWatchWait{500};
 /// The same for a gateway that is told of changes by others: each call to the
 /// store is paid for.
 constexpr milliseconds RelayedWatchWait{12'000};
 /// How often such a gateway checks that others still read the store.
-constexpr milliseconds RoleCheckEvery{200};
+constexpr milliseconds RoleCheckInterval{200};
 /// Servers write their entries all the time: changes are taken in together. A
 /// server that leaves serves for two seconds and longer.
-constexpr milliseconds GatherTime{400};
-/// Pause before the whole is read anew after a lost history.
-constexpr milliseconds ReadAgainPause{150};
+constexpr milliseconds ChangeBatchDelay{400};
+/// Backoff before the whole is read anew after a lost history.
+constexpr milliseconds ResyncDelay{150};
 /// First pause before asking a store again that is away, and the longest, also
 /// for a gateway that is told of changes by others.
-constexpr milliseconds FirstPause{100};
-constexpr milliseconds LongestPause{400};
-constexpr milliseconds LongestRelayedPause{1'000};
+constexpr milliseconds InitialBackoff{100};
+constexpr milliseconds MaxBackoff{400};
+constexpr milliseconds MaxRelayedBackoff{1'000};
 
 /// Tells whether the store answers, once for each change.
 class StoreHealth {
 public:
-  StoreHealth(World &world, std::string_view what)
-      : W(world), What(what), AnsweredAt(world.now()) {}
-
-  void answered() {
-    countStoreCall(W.Metrics, What, true);
-    AnsweredAt = W.now();
-    if (IsAway)
-      W.Log.write("store-regained", {{"what", What}});
-    IsAway = false;
-    Pause = FirstPause;
+  StoreHealth(GatewayContext &ctx, std::string_view resource)
+      : Ctx(ctx), Resource(resource), LastAnswerAt(ctx.now()) {}
+
+  void recordSuccess() {
+    countStoreCall(Ctx.Metrics, Resource, true);
+    LastAnswerAt = Ctx.now();
+    if (IsUnreachable)
+      Ctx.Log.write("store-regained", {{"what", Resource}});
+    IsUnreachable = false;
+    Backoff = InitialBackoff;
   }
 
   /// Returns how long to wait before the next call.
-  milliseconds failed(const base::Error &e) {
-    countStoreCall(W.Metrics, What, false);
-    if (!IsAway)
-      W.Log.write("store-lost", {{"what", What},
-                                 {"why", describe(e)},
-                                 {"silent_ms", silentFor().count()}});
-    IsAway = true;
-    const milliseconds pause = Pause;
-    Pause =
-        std::min(Pause * 2, W.WatchesList ? LongestPause : LongestRelayedPause);
+  milliseconds recordFailure(const base::Error &e) {
+    countStoreCall(Ctx.Metrics, Resource, false);
+    if (!IsUnreachable)
+      Ctx.Log.write("store-lost", {{"what", Resource},
+                                   {"why", describe(e)},
+                                   {"silent_ms", timeSinceAnswer().count()}});
+    IsUnreachable = true;
+    const milliseconds pause = Backoff;
+    Backoff =
+        std::min(Backoff * 2, Ctx.WatchesList ? MaxBackoff : MaxRelayedBackoff);
     return pause;
   }
 
 private:
-  milliseconds silentFor() const {
-    return milliseconds(base::toMs(W.now() - AnsweredAt));
+  milliseconds timeSinceAnswer() const {
+    return milliseconds(base::toMs(Ctx.now() - LastAnswerAt));
   }
 
-  World &W;
-  std::string_view What;
-  base::Instant AnsweredAt;
-  bool IsAway = false;
-  milliseconds Pause = FirstPause;
+  GatewayContext &Ctx;
+  std::string_view Resource;
+  base::Instant LastAnswerAt;
+  bool IsUnreachable = false;
+  milliseconds Backoff = InitialBackoff;
 };
 
-bool isHistoryGone(const base::Error &e) {
+bool isHistoryCompacted(const base::Error &e) {
   return e.Code == base::ErrorCode::NotFound;
 }
 
-void noteListRead(World &world, base::Instant now) {
-  const bool hasFailed = world.ListReadFailedAt > world.ListReadAt;
-  world.Servers.noteStoreContact(now, hasFailed ? world.ListReadFailedAt : now);
-  world.ListReadAt = now;
-  world.ListFrom = now;
+void recordListRead(GatewayContext &ctx, base::Instant now) {
+  const bool hasFailed = ctx.ListReadFailedAt > ctx.ListReadAt;
+  ctx.Servers.noteStoreContact(now, hasFailed ? ctx.ListReadFailedAt : now);
+  ctx.ListReadAt = now;
+  ctx.ListConfirmedAt = now;
 }
 
 /// Logs an entry that names no usable server, once.
-void noteEntry(World &world, const ServerChange &change) {
+void logIfUnusable(GatewayContext &ctx, const ServerChange &change) {
   if (change.Problem.empty()) {
-    world.BadEntries.erase(change.Id);
+    ctx.UnusableEntryIds.erase(change.Id);
     return;
   }
-  if (world.BadEntries.insert(change.Id).second)
-    world.Log.write("entry-unusable",
-                    {{"server", change.Id}, {"why", change.Problem}});
+  if (ctx.UnusableEntryIds.insert(change.Id).second)
+    ctx.Log.write("entry-unusable",
+                  {{"server", change.Id}, {"why", change.Problem}});
 }
 
-void apply(World &world, const ServerChanges &changes) {
-  const base::Instant now = world.now();
-  noteListRead(world, now);
-  const std::uint64_t before = world.Servers.digest();
+void applyChanges(GatewayContext &ctx, const ServerChanges &changes) {
+  const base::Instant now = ctx.now();
+  recordListRead(ctx, now);
+  const std::uint64_t before = ctx.Servers.digest();
   for (const ServerChange &change : changes.Changes) {
-    noteEntry(world, change);
+    logIfUnusable(ctx, change);
     // Servers write their entries all the time: few writes change anything.
-    const bool isNews = change.Listed
-                            ? !world.Servers.isListedAs(*change.Listed)
-                            : world.Servers.isListed(change.Id);
-    if (isNews)
-      world.ListNews.push_back(change);
+    const bool isChanged = change.Listed
+                               ? !ctx.Servers.isListedAs(*change.Listed)
+                               : ctx.Servers.isListed(change.Id);
+    if (isChanged)
+      ctx.PendingListChanges.push_back(change);
     if (change.Listed)
-      world.Servers.put(now, *change.Listed);
+      ctx.Servers.put(now, *change.Listed);
     else
-      world.Servers.remove(now, {change.Id, change.Revision});
+      ctx.Servers.remove(now, {change.Id, change.Revision});
   }
-  world.ListRevision = std::max(world.ListRevision, changes.Revision);
-  if (world.Servers.digest() != before && world.TellPeers)
-    world.TellPeers();
+  ctx.ListRevision = std::max(ctx.ListRevision, changes.Revision);
+  if (ctx.Servers.digest() != before && ctx.NotifyPeers)
+    ctx.NotifyPeers();
 }
 
-void applyAll(World &world, const ServerChanges &list) {
+void applySnapshot(GatewayContext &ctx, const ServerChanges &list) {
   ServerList all{list.Revision, {}, {}};
-  world.BadEntries.clear();
+  ctx.UnusableEntryIds.clear();
   for (const ServerChange &change : list.Changes) {
-    noteEntry(world, change);
+    logIfUnusable(ctx, change);
     if (change.Listed)
       all.Servers.push_back(*change.Listed);
   }
-  const base::Instant now = world.now();
-  noteListRead(world, now);
-  world.Servers.replaceAll(now, all);
-  world.ListRevision = std::max(world.ListRevision, all.Revision);
+  const base::Instant now = ctx.now();
+  recordListRead(ctx, now);
+  ctx.Servers.replaceAll(now, all);
+  ctx.ListRevision = std::max(ctx.ListRevision, all.Revision);
 }
 
-milliseconds watchWait(milliseconds configApply) {
+milliseconds configWatchWait(milliseconds configApply) {
   const milliseconds wait(
-      static_cast<std::int64_t>(WatchPart * configApply.count()));
-  return std::clamp(wait, ShortestWatchWait, LongestWatchWait);
+      static_cast<std::int64_t>(ConfigWatchWaitRatio * configApply.count()));
+  return std::clamp(wait, MinConfigWatchWait, MaxConfigWatchWait);
 }
 
-asio::awaitable<void> followsItself(const World &world) {
-  while (!world.WatchesList)
-    co_await sleepFor(RoleCheckEvery);
+asio::awaitable<void> waitUntilWatchingList(const GatewayContext &ctx) {
+  while (!ctx.WatchesList)
+    co_await sleepFor(RoleCheckInterval);
 }
 
 /// Waits for a change of the config. A long watch ends as soon as this gateway
 /// has to follow the store itself: its connection may be dead.
-Source::Answer<ConfigText> nextConfig(World &world, std::uint64_t revision) {
-  if (world.WatchesList) {
-    const milliseconds wait = watchWait(world.Settings.ConfigApply);
-    co_return co_await world.From.WatchConfig(revision, wait);
+Source::Answer<ConfigText> waitForConfigChange(GatewayContext &ctx,
+                                               std::uint64_t revision) {
+  if (ctx.WatchesList) {
+    const milliseconds wait = configWatchWait(ctx.Settings.MaxConfigApplyTime);
+    co_return co_await ctx.Store.WatchConfig(revision, wait);
   }
-  auto first = co_await (world.From.WatchConfig(revision, RelayedWatchWait) ||
-                         followsItself(world));
+  auto first = co_await (ctx.Store.WatchConfig(revision, RelayedWatchWait) ||
+                         waitUntilWatchingList(ctx));
   if (first.index() == 0)
     co_return std::get<0>(std::move(first));
   co_return base::Error{base::ErrorCode::NotFound, "config",
@@ -166,81 +167,83 @@
 
 /// Follows changes from a revision until the watch fails, or until others do it
 /// for this gateway.
-asio::awaitable<base::Error> followConfig(World &world, StoreHealth &health,
-                                          std::uint64_t revision) {
+asio::awaitable<base::Error>
+followConfig(GatewayContext &ctx, StoreHealth &health, std::uint64_t revision) {
   for (;;) {
-    auto news = co_await nextConfig(world, revision);
-    if (!ok(news))
-      co_return error(news);
-    health.answered();
-    world.ConfigFrom = world.now();
-    revision = value(news).Revision;
-    if (!value(news).Text.empty())
-      world.takeConfig(std::move(value(news).Text), "store");
+    auto changed = co_await waitForConfigChange(ctx, revision);
+    if (!ok(changed))
+      co_return error(changed);
+    health.recordSuccess();
+    ctx.ConfigConfirmedAt = ctx.now();
+    revision = value(changed).Revision;
+    if (!value(changed).Text.empty())
+      ctx.applyConfig(std::move(value(changed).Text), "store");
   }
 }
 
-asio::awaitable<base::Error> followServers(World &world, StoreHealth &health,
+asio::awaitable<base::Error> followServers(GatewayContext &ctx,
+                                           StoreHealth &health,
                                            std::uint64_t revision) {
   do {
-    co_await sleepFor(GatherTime);
-    const auto news = co_await world.From.WatchServers(revision, ListWatchWait);
-    if (!ok(news))
-      co_return error(news);
-    health.answered();
-    revision = value(news).Revision;
-    apply(world, value(news));
-  } while (world.WatchesList);
+    co_await sleepFor(ChangeBatchDelay);
+    const auto changed =
+        co_await ctx.Store.WatchServers(revision, ListWatchWait);
+    if (!ok(changed))
+      co_return error(changed);
+    health.recordSuccess();
+    revision = value(changed).Revision;
+    applyChanges(ctx, value(changed));
+  } while (ctx.WatchesList);
   co_return base::Error{base::ErrorCode::NotFound, "servers", "others watch"};
 }
 
 } // namespace
 
-asio::awaitable<void> watchConfig(World &world) {
-  StoreHealth health(world, "config");
+asio::awaitable<void> watchConfig(GatewayContext &ctx) {
+  StoreHealth health(ctx, "config");
   for (;;) {
-    auto read = co_await world.From.ReadConfig();
+    auto read = co_await ctx.Store.ReadConfig();
     if (!ok(read)) {
-      const milliseconds pause = health.failed(error(read));
+      const milliseconds pause = health.recordFailure(error(read));
       co_await sleepFor(pause);
       continue;
     }
-    health.answered();
-    world.ConfigFrom = world.now();
+    health.recordSuccess();
+    ctx.ConfigConfirmedAt = ctx.now();
     if (!value(read).Text.empty())
-      world.takeConfig(std::move(value(read).Text), "store");
+      ctx.applyConfig(std::move(value(read).Text), "store");
     const base::Error e =
-        co_await followConfig(world, health, value(read).Revision);
+        co_await followConfig(ctx, health, value(read).Revision);
     // Reading anew is the answer to a lost history, after a pause.
     const milliseconds pause =
-        isHistoryGone(e) ? ReadAgainPause : health.failed(e);
+        isHistoryCompacted(e) ? ResyncDelay : health.recordFailure(e);
     co_await sleepFor(pause);
   }
 }
 
-asio::awaitable<void> watchServers(World &world) {
-  StoreHealth health(world, "servers");
+asio::awaitable<void> watchServers(GatewayContext &ctx) {
+  StoreHealth health(ctx, "servers");
   for (;;) {
     // The others' lists reach this gateway through them.
-    if (!world.WatchesList && !world.Servers.isEmpty()) {
-      co_await sleepFor(GatherTime);
+    if (!ctx.WatchesList && !ctx.Servers.isEmpty()) {
+      co_await sleepFor(ChangeBatchDelay);
       continue;
     }
-    const base::Instant asked = world.now();
-    const auto read = co_await world.From.ReadServers();
+    const base::Instant startedAt = ctx.now();
+    const auto read = co_await ctx.Store.ReadServers();
     if (!ok(read)) {
-      world.ListReadFailedAt = asked;
-      const milliseconds pause = health.failed(error(read));
+      ctx.ListReadFailedAt = startedAt;
+      const milliseconds pause = health.recordFailure(error(read));
       co_await sleepFor(pause);
       continue;
     }
-    health.answered();
-    applyAll(world, value(read));
+    health.recordSuccess();
+    applySnapshot(ctx, value(read));
     const base::Error e =
-        co_await followServers(world, health, value(read).Revision);
+        co_await followServers(ctx, health, value(read).Revision);
     // Reading anew is the answer to a lost history, after a pause.
     const milliseconds pause =
-        isHistoryGone(e) ? ReadAgainPause : health.failed(e);
+        isHistoryCompacted(e) ? ResyncDelay : health.recordFailure(e);
     co_await sleepFor(pause);
   }
 }
--- a/src/gateway/store-watch.h
+++ b/src/gateway/store-watch.h
@@ -2,16 +2,16 @@
 /// platform's store, and asks again when it is away.
 #pragma once
 
-#include "world.h"
+#include "gateway-context.h"
 
 #include <boost/asio/awaitable.hpp>
 
 namespace drumlanding::gateway {
 
 /// Follows the operators' config until the process ends.
-asio::awaitable<void> watchConfig(World &world);
+asio::awaitable<void> watchConfig(GatewayContext &ctx);
 
 /// Follows the list of servers until the process ends.
-asio::awaitable<void> watchServers(World &world);
+asio::awaitable<void> watchServers(GatewayContext &ctx);
 
 } // namespace drumlanding::gateway
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -13,178 +13,180 @@
 using base::Reason;
 using base::Verdict;
 
-constexpr int Fine = 200;
+constexpr int HttpOk = 200;
 
 /// A stream on its way; the functions below are its steps.
 class StreamForwarder {
 public:
-  StreamForwarder(Forwarding &f, http::Exchange &x, Mover &mover)
-      : F(f), W(f.W), X(x), Moves(mover),
+  StreamForwarder(ForwardedRequest &f, http::Exchange &x, Migrator &migrator)
+      : F(f), Ctx(f.Ctx), X(x), Migrations(migrator),
         Run(std::make_shared<StreamRun>(f.shared_from_this())) {
     Run->Id = base::hash64(f.Request.AttemptId);
   }
 
   asio::awaitable<void> run() {
-    Moves.add(Run);
-    const bool isOpen = co_await open();
+    Migrations.add(Run);
+    const bool isOpen = co_await openStream();
     if (isOpen)
-      co_await passEvents();
-    Moves.remove(Run);
-    leaveLedger();
+      co_await forwardEvents();
+    Migrations.remove(Run);
+    unregisterRun();
   }
 
 private:
-  asio::awaitable<bool> open();
-  asio::awaitable<Attempt> tryOpen(Server server);
-  asio::awaitable<void> passEvents();
-  asio::awaitable<bool> pass(std::string events);
-  asio::awaitable<bool> recover();
-  asio::awaitable<bool> continueAt(Server server, Continuation from);
-  void enterLedger(const std::string &server);
-  void leaveLedger();
-  void tellIfLeaving();
-  void logEnd(std::string_view how);
+  asio::awaitable<bool> openStream();
+  asio::awaitable<Attempt> attemptOpen(Server server);
+  asio::awaitable<void> forwardEvents();
+  asio::awaitable<bool> sendToCaller(std::string events);
+  asio::awaitable<bool> resume();
+  asio::awaitable<bool> resumeAt(Server server, Continuation from);
+  void registerRun(const std::string &server);
+  void unregisterRun();
+  void notifyIfLeaving();
+  void logStreamEnd(std::string_view how);
 
-  Forwarding &F;
-  World &W;
+  ForwardedRequest &F;
+  GatewayContext &Ctx;
   http::Exchange &X;
-  Mover &Moves;
+  Migrator &Migrations;
   StreamRunPointer Run;
   ServerAnswer Head;
   bool IsHeadSent = false;
-  base::Instant LastEvent{};
+  base::Instant LastEventAt{};
   /// From the request to its first event; 0 before that.
-  base::Duration FirstEvent{0};
-  base::Duration LongestPause{0};
+  base::Duration TimeToFirstEvent{0};
+  base::Duration MaxPause{0};
 };
 
-void StreamForwarder::enterLedger(const std::string &server) {
+void StreamForwarder::registerRun(const std::string &server) {
   Run->Server = server;
   Run->CopyServer.clear();
-  LedgerRun run = Run->ledgerRun();
-  run.Since = W.now();
-  W.Runs.begin(run);
-  if (W.TellPeers)
-    W.TellPeers();
+  LedgerRun run = Run->trackedRun();
+  run.Since = Ctx.now();
+  Ctx.Runs.begin(run);
+  if (Ctx.NotifyPeers)
+    Ctx.NotifyPeers();
 }
 
-void StreamForwarder::leaveLedger() {
-  W.Runs.end(Run->Id);
-  tellIfLeaving();
+void StreamForwarder::unregisterRun() {
+  Ctx.Runs.end(Run->Id);
+  notifyIfLeaving();
   Run->Server.clear();
 }
 
 /// Other runs on a server that leaves wait for their turn to move.
-void StreamForwarder::tellIfLeaving() {
-  const Server *server = W.Servers.find(Run->Server);
-  if (server && server->IsLeaving && W.TellPeers)
-    W.TellPeers();
+void StreamForwarder::notifyIfLeaving() {
+  const Server *server = Ctx.Servers.find(Run->Server);
+  if (server && server->IsLeaving && Ctx.NotifyPeers)
+    Ctx.NotifyPeers();
 }
 
-asio::awaitable<Attempt> StreamForwarder::tryOpen(Server server) {
+asio::awaitable<Attempt> StreamForwarder::attemptOpen(Server server) {
   Attempt attempt;
   F.Connection = co_await connectTo(F, server);
-  if (!F.Connection || F.isOver()) {
-    attempt.Why = "no connection";
+  if (!F.Connection || F.isAborted()) {
+    attempt.Cause = "no connection";
     co_return attempt;
   }
   ++F.Sends;
   attempt.End = AttemptEnd::Broken;
-  attempt.Why = "no head";
+  attempt.Cause = "no head";
   sendTo(F, server, std::nullopt);
-  auto head = co_await readOwnHead(F);
+  auto head = co_await readMatchingHead(F);
   if (!head)
     co_return attempt;
   Head = std::move(*head);
-  attempt.End = endOf(Head);
-  attempt.Why = "answered";
-  if (attempt.End == AttemptEnd::Served && Head.Status == Fine)
+  attempt.End = classifyResponse(Head);
+  attempt.Cause = "answered";
+  if (attempt.End == AttemptEnd::Served && Head.Status == HttpOk)
     co_return attempt;
   auto body = co_await readBody(F);
   if (!body) {
     attempt.End = AttemptEnd::Broken;
-    attempt.Why = "a failure that is not whole";
+    attempt.Cause = "a failure that is not whole";
     co_return attempt;
   }
-  attempt.Answer = WholeAnswer{Head, std::move(*body)};
+  attempt.Response = CompleteResponse{Head, std::move(*body)};
   co_return attempt;
 }
 
 /// Finds a server that takes the stream; false when the request is over.
-asio::awaitable<bool> StreamForwarder::open() {
+asio::awaitable<bool> StreamForwarder::openStream() {
   for (;;) {
     const Demand demand{F.Request.PromptTokens, F.Request.ExpectedTokens};
-    const Choice choice =
-        W.Placing.forGeneration(W.now(), *F.TheService, demand, F.Tried);
+    const Choice choice = Ctx.Placer.forGeneration(Ctx.now(), *F.ChosenService,
+                                                   demand, F.TriedServers);
     if (!choice.Chosen) {
-      logEnd("no server");
+      logStreamEnd("no server");
       http::Response response =
-          refusal(F, Verdict::NotRun, Reason::NoBackendServer);
+          makeRefusal(F, Verdict::NotRun, Reason::NoBackendServer);
       co_await X.send(std::move(response));
       co_return false;
     }
     const Server server = *choice.Chosen;
     const std::string id = server.Listed.Id;
-    W.Log.write("placed", {{"request", F.Request.AttemptId},
-                           {"server", id},
-                           {"candidates", choice.Candidates},
-                           {"cost_ms", choice.CostMs},
-                           {"running", choice.Load.Running},
-                           {"forecast_tokens", choice.Load.ForecastTokens},
-                           {"prompt_tokens", F.Request.PromptTokens},
-                           {"expected_tokens", F.Request.ExpectedTokens}});
-    enterLedger(id);
-    W.Servers.opened(id);
-    Attempt attempt = co_await tryOpen(server);
-    W.Servers.closed(id);
-    F.Tried.push_back(id);
-    bool isOpen = attempt.End == AttemptEnd::Served && !attempt.Answer;
+    Ctx.Log.write("placed", {{"request", F.Request.AttemptId},
+                             {"server", id},
+                             {"candidates", choice.Candidates},
+                             {"cost_ms", choice.CostMs},
+                             {"running", choice.Load.Running},
+                             {"forecast_tokens", choice.Load.ForecastTokens},
+                             {"prompt_tokens", F.Request.PromptTokens},
+                             {"expected_tokens", F.Request.ExpectedTokens}});
+    registerRun(id);
+    Ctx.Servers.opened(id);
+    Attempt attempt = co_await attemptOpen(server);
+    Ctx.Servers.closed(id);
+    F.TriedServers.push_back(id);
+    bool isOpen = attempt.End == AttemptEnd::Served && !attempt.Response;
     // A move may have taken the run away before it answered.
     if (attempt.End == AttemptEnd::Broken)
-      isOpen = co_await recover();
+      isOpen = co_await resume();
     if (isOpen) {
-      noteOutcome(F, id, attempt);
+      recordOutcome(F, id, attempt);
       co_return true;
     }
-    leaveLedger();
-    noteOutcome(F, id, attempt);
-    F.stop();
+    unregisterRun();
+    recordOutcome(F, id, attempt);
+    F.closeConnection();
     const bool hasServer =
-        W.Placing.forGeneration(W.now(), *F.TheService, demand, F.Tried)
+        Ctx.Placer
+            .forGeneration(Ctx.now(), *F.ChosenService, demand, F.TriedServers)
             .Chosen != nullptr;
-    const Step step = stepAfter(F, attempt, hasServer);
+    const Step step = decideNextStep(F, attempt, hasServer);
     if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
       F.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
-    logEnd(attempt.Why);
-    if (F.HasCallerLeft)
+    logStreamEnd(attempt.Cause);
+    if (F.HasCallerDisconnected)
       co_return false;
     http::Response response;
     if (step == Step::Deliver)
-      response = toResponse(std::move(*attempt.Answer));
+      response = toResponse(std::move(*attempt.Response));
     else if (step == Step::RefuseNotRun)
-      response = refusal(F, Verdict::NotRun, Reason::Overloaded);
+      response = makeRefusal(F, Verdict::NotRun, Reason::Overloaded);
     else
-      response = refusal(F, Verdict::MayHaveRun,
-                         F.IsLate ? Reason::Expired : Reason::EngineLost);
+      response =
+          makeRefusal(F, Verdict::MayHaveRun,
+                      F.IsExpired ? Reason::Expired : Reason::EngineLost);
     co_await X.send(std::move(response));
     co_return false;
   }
 }
 
-asio::awaitable<bool> StreamForwarder::pass(std::string events) {
+asio::awaitable<bool> StreamForwarder::sendToCaller(std::string events) {
   if (events.empty())
     co_return true;
-  const base::Instant now = W.now();
-  if (LastEvent == base::Instant{})
-    FirstEvent = now - F.ReceivedAt;
+  const base::Instant now = Ctx.now();
+  if (LastEventAt == base::Instant{})
+    TimeToFirstEvent = now - F.ReceivedAt;
   else
-    LongestPause = std::max(LongestPause, now - LastEvent);
-  LastEvent = now;
-  W.Runs.progress(Run->Id, Run->madeTokens());
+    MaxPause = std::max(MaxPause, now - LastEventAt);
+  LastEventAt = now;
+  Ctx.Runs.progress(Run->Id, Run->generatedTokens());
   if (!IsHeadSent)
-    tellIfLeaving();
+    notifyIfLeaving();
   if (!IsHeadSent) {
     IsHeadSent = true;
     if (!co_await X.beginBody(Head.Status, Head.Headers))
@@ -193,13 +195,13 @@
   co_return co_await X.body(std::move(events));
 }
 
-asio::awaitable<void> StreamForwarder::passEvents() {
+asio::awaitable<void> StreamForwarder::forwardEvents() {
   for (;;) {
     auto piece = co_await F.Connection->read();
     if (ok(piece) && !value(piece).empty()) {
       std::string events = Run->Events.feed(value(piece));
-      if (!co_await pass(std::move(events))) {
-        logEnd("caller left");
+      if (!co_await sendToCaller(std::move(events))) {
+        logStreamEnd("caller left");
         co_return;
       }
       continue;
@@ -209,92 +211,92 @@
       if (!IsHeadSent)
         co_await X.beginBody(Head.Status, Head.Headers);
       co_await X.endBody();
-      logEnd("whole");
+      logStreamEnd("whole");
       co_return;
     }
-    const bool goesOn = co_await recover();
-    if (goesOn)
+    const bool isResumed = co_await resume();
+    if (isResumed)
       continue;
-    logEnd("broken off");
-    if (IsHeadSent || F.HasCallerLeft)
+    logStreamEnd("broken off");
+    if (IsHeadSent || F.HasCallerDisconnected)
       co_return;
     http::Response response =
-        refusal(F, Verdict::MayHaveRun,
-                F.IsLate ? Reason::Expired : Reason::EngineLost);
+        makeRefusal(F, Verdict::MayHaveRun,
+                    F.IsExpired ? Reason::Expired : Reason::EngineLost);
     co_await X.send(std::move(response));
     co_return;
   }
 }
 
 /// Goes on at another server after a connection's end; false when it cannot.
-asio::awaitable<bool> StreamForwarder::recover() {
-  while (Run->IsMoving && !F.isOver()) {
+asio::awaitable<bool> StreamForwarder::resume() {
+  while (Run->IsMigrating && !F.isAborted()) {
     boost::system::error_code ec;
-    co_await Run->MoveEnded.async_wait(
+    co_await Run->MigrationEnded.async_wait(
         asio::redirect_error(asio::use_awaitable, ec));
   }
-  if (F.isOver() || !Run->Next)
+  if (F.isAborted() || !Run->ResumeFrom)
     co_return false;
-  Continuation from = *Run->Next;
-  Run->Next.reset();
+  Continuation from = *Run->ResumeFrom;
+  Run->ResumeFrom.reset();
   const std::string source = Run->Server;
-  const Server *server = W.Servers.find(Run->NextServer);
+  const Server *server = Ctx.Servers.find(Run->ResumeServer);
   if (server) {
-    const bool isDone = co_await continueAt(*server, from);
+    const bool isDone = co_await resumeAt(*server, from);
     if (isDone)
       co_return true;
   }
   // The source has stopped and keeps the memory for a while.
-  const Server *stopped = W.Servers.find(source);
-  if (!stopped || source == Run->NextServer || F.isOver())
+  const Server *stopped = Ctx.Servers.find(source);
+  if (!stopped || source == Run->ResumeServer || F.isAborted())
     co_return false;
-  co_return co_await continueAt(*stopped, from);
+  co_return co_await resumeAt(*stopped, from);
 }
 
-asio::awaitable<bool> StreamForwarder::continueAt(Server server,
-                                                  Continuation from) {
-  F.stop();
+asio::awaitable<bool> StreamForwarder::resumeAt(Server server,
+                                                Continuation from) {
+  F.closeConnection();
   F.Connection = co_await connectTo(F, server);
-  if (!F.Connection || F.isOver())
+  if (!F.Connection || F.isAborted())
     co_return false;
   Run->Events.restart();
   from.LastEventId = Run->Events.lastId().value_or(0);
   sendTo(F, server, from);
-  const auto head = co_await readOwnHead(F);
-  const bool isTaken = head && head->Status == Fine;
-  countMove(W.Metrics, "continued", isTaken);
-  W.Log.write("move-continued",
-              {{"request", F.Request.AttemptId},
-               {"server", server.Listed.Id},
-               {"status", head ? head->Status : 0},
-               {"last_event", from.LastEventId},
-               {"ms_since_event", base::toMs(W.now() - LastEvent)}});
-  if (!isTaken)
+  const auto head = co_await readMatchingHead(F);
+  const bool isAccepted = head && head->Status == HttpOk;
+  countMigrationStep(Ctx.Metrics, "continued", isAccepted);
+  Ctx.Log.write("move-continued",
+                {{"request", F.Request.AttemptId},
+                 {"server", server.Listed.Id},
+                 {"status", head ? head->Status : 0},
+                 {"last_event", from.LastEventId},
+                 {"ms_since_event", base::toMs(Ctx.now() - LastEventAt)}});
+  if (!isAccepted)
     co_return false;
   if (!IsHeadSent)
     Head = *head;
-  enterLedger(server.Listed.Id);
-  Moves.moveIfLeaving(Run);
+  registerRun(server.Listed.Id);
+  Migrations.migrateIfLeaving(Run);
   co_return true;
 }
 
-void StreamForwarder::logEnd(std::string_view how) {
-  W.Log.write("stream-ended", {{"request", F.Request.AttemptId},
-                               {"route", F.TheRoute->Name},
-                               {"server", Run->Server},
-                               {"how", how},
-                               {"events", Run->Events.events()},
-                               {"longest_pause_ms", base::toMs(LongestPause)},
-                               {"ms", base::toMs(W.now() - F.ReceivedAt)}});
-  countStream(W.Metrics, {F.TheRoute->Name, how, FirstEvent, LongestPause,
-                          W.now() - F.ReceivedAt});
+void StreamForwarder::logStreamEnd(std::string_view how) {
+  Ctx.Log.write("stream-ended", {{"request", F.Request.AttemptId},
+                                 {"route", F.MatchedRoute->Name},
+                                 {"server", Run->Server},
+                                 {"how", how},
+                                 {"events", Run->Events.events()},
+                                 {"longest_pause_ms", base::toMs(MaxPause)},
+                                 {"ms", base::toMs(Ctx.now() - F.ReceivedAt)}});
+  countStream(Ctx.Metrics, {F.MatchedRoute->Name, how, TimeToFirstEvent,
+                            MaxPause, Ctx.now() - F.ReceivedAt});
 }
 
 } // namespace
 
-asio::awaitable<void> forwardStream(Forwarding &f, http::Exchange &x,
-                                    Mover &mover) {
-  StreamForwarder forwarder(f, x, mover);
+asio::awaitable<void> forwardStream(ForwardedRequest &f, http::Exchange &x,
+                                    Migrator &migrator) {
+  StreamForwarder forwarder(f, x, migrator);
   co_await forwarder.run();
 }
 
--- a/src/gateway/stream-forwarder.h
+++ b/src/gateway/stream-forwarder.h
@@ -2,12 +2,12 @@
 /// server after another when the generation moves.
 #pragma once
 
-#include "forwarding.h"
-#include "mover.h"
+#include "forwarded-request.h"
+#include "migrator.h"
 
 namespace drumlanding::gateway {
 
-asio::awaitable<void> forwardStream(Forwarding &f, http::Exchange &x,
-                                    Mover &mover);
+asio::awaitable<void> forwardStream(ForwardedRequest &f, http::Exchange &x,
+                                    Migrator &migrator);
 
 } // namespace drumlanding::gateway
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -26,9 +26,9 @@
 
 /// Longer than any test needs, so that a hang ends as a failure.
 constexpr seconds TestLimit{20};
-constexpr milliseconds Step{2};
+constexpr milliseconds PollInterval{2};
 /// A moved stream must last longer than the news of a leaving server takes.
-constexpr int MoveEvents = 300;
+constexpr int MigrationEvents = 300;
 
 base::Endpoint freeEndpoint() {
   asio::io_context io;
@@ -42,13 +42,13 @@
 }
 
 /// What goes wrong while a generation moves.
-enum class MoveFault {
+enum class MigrationFault {
   None,
   NoRunYet,           ///< The first copies find no run.
   NoRoom,             ///< The destination takes nothing.
-  CopyNeverAnswers,   ///< The first copy hangs.
-  LastFails,          ///< The last copy fails; the source keeps the memory.
-  LastAnswerLost,     ///< The source has stopped, and nobody hears of it.
+  CopyHangs,          ///< The first copy hangs.
+  FinalCopyFails,     ///< The last copy fails; the source keeps the memory.
+  FinalResponseLost,  ///< The source has stopped, and nobody hears of it.
   DestinationRefuses, ///< The copy is there, and its server does not take it.
   DestinationDies,    ///< It breaks off after the first event.
   SourceDies,         ///< It dies before the last copy.
@@ -78,8 +78,8 @@
     return s;
   }
 
-  http::Response own(const http::Request &request, int status,
-                     std::string body) const {
+  http::Response ownResponse(const http::Request &request, int status,
+                             std::string body) const {
     return {status,
             "text/plain",
             std::move(body),
@@ -91,15 +91,16 @@
   std::string Id;
   std::string Service;
   base::Endpoint Address;
-  std::vector<http::Request> Got;
-  std::function<asio::awaitable<void>(http::Request, http::Exchange &)> OnCall;
+  std::vector<http::Request> Requests;
+  std::function<asio::awaitable<void>(http::Request, http::Exchange &)>
+      OnRequest;
   /// Engines.
   int Events = 30;
-  int Gone = 0;
+  int Disconnects = 0;
   bool IsStopped = false;
   bool IsDead = false;
   int Copies = 0;
-  MoveFault Fault = MoveFault::None;
+  MigrationFault Fault = MigrationFault::None;
 
 private:
   // GCC 12 destroys the temporaries of braced lists beside co_await twice.
@@ -113,32 +114,32 @@
 
   asio::awaitable<void> serve(http::Request request, http::Exchange &x) {
     if (request.path() == "/drumlanding/kv-move") {
-      co_await copy(request, x);
+      co_await serveCopy(request, x);
       co_return;
     }
     if (request.Method == "DELETE") {
       co_await sendJson(x, 200, "");
       co_return;
     }
-    Got.push_back(request);
-    if (OnCall) {
-      co_await OnCall(std::move(request), x);
+    Requests.push_back(request);
+    if (OnRequest) {
+      co_await OnRequest(std::move(request), x);
       co_return;
     }
-    co_await stream(request, x);
+    co_await serveStream(request, x);
   }
 
-  asio::awaitable<void> stream(const http::Request &request,
-                               http::Exchange &x) {
+  asio::awaitable<void> serveStream(const http::Request &request,
+                                    http::Exchange &x) {
     const bool isContinued = !request.header("Kv-From").empty();
-    if (isContinued && Fault == MoveFault::DestinationRefuses) {
-      http::Response refused = own(request, 503, "");
+    if (isContinued && Fault == MigrationFault::DestinationRefuses) {
+      http::Response refused = ownResponse(request, 503, "");
       refused.Headers.push_back({"X-Not-Run", "1"});
       co_await x.send(std::move(refused));
       co_return;
     }
-    x.onGone([this] { ++Gone; });
-    std::vector<http::Header> headers = own(request, 200, "").Headers;
+    x.onGone([this] { ++Disconnects; });
+    std::vector<http::Header> headers = ownResponse(request, 200, "").Headers;
     headers.push_back({"Content-Type", "text/event-stream"});
     co_await x.beginBody(200, headers);
     const std::string last(request.header("Last-Event-Id"));
@@ -148,39 +149,40 @@
     for (int sent = 0; next < Events; ++sent) {
       if (IsStopped || IsDead)
         co_return;
-      if (isContinued && sent == 1 && Fault == MoveFault::DestinationDies)
+      if (isContinued && sent == 1 && Fault == MigrationFault::DestinationDies)
         co_return;
       if (!co_await x.body(eventText(next++)))
         co_return;
-      co_await sleepFor(Step);
+      co_await sleepFor(PollInterval);
     }
     co_await x.endBody();
   }
 
-  asio::awaitable<void> copy(const http::Request &request, http::Exchange &x) {
+  asio::awaitable<void> serveCopy(const http::Request &request,
+                                  http::Exchange &x) {
     const auto json = nlohmann::json::parse(request.Body);
     const bool isLast = json.value("last", false);
     ++Copies;
-    if (Fault == MoveFault::NoRunYet && Copies < 3) {
+    if (Fault == MigrationFault::NoRunYet && Copies < 3) {
       co_await sendJson(x, 404, "{}");
       co_return;
     }
-    if (Fault == MoveFault::NoRoom) {
+    if (Fault == MigrationFault::NoRoom) {
       co_await sendJson(x, 503, "{}");
       co_return;
     }
-    if (Fault == MoveFault::CopyNeverAnswers) {
+    if (Fault == MigrationFault::CopyHangs) {
       co_await sleepFor(TestLimit);
       co_return;
     }
-    if (Fault == MoveFault::SourceDies && isLast) {
+    if (Fault == MigrationFault::SourceDies && isLast) {
       IsDead = true;
       co_return;
     }
     IsStopped = IsStopped || isLast;
-    if (Fault == MoveFault::LastAnswerLost && isLast)
+    if (Fault == MigrationFault::FinalResponseLost && isLast)
       co_return;
-    const bool isFailed = Fault == MoveFault::LastFails && isLast;
+    const bool isFailed = Fault == MigrationFault::FinalCopyFails && isLast;
     const int status = isFailed ? 503 : 200;
     co_await sendJson(x, status, R"({"handle":"h1","made":5})");
   }
@@ -188,16 +190,19 @@
   std::unique_ptr<http::Server> Listener;
 };
 
-asio::awaitable<void> sendOwn(TestServer &server, http::Request request,
-                              http::Exchange &x, int status, std::string body) {
-  http::Response response = server.own(request, status, std::move(body));
+asio::awaitable<void> sendOwnResponse(TestServer &server, http::Request request,
+                                      http::Exchange &x, int status,
+                                      std::string body) {
+  http::Response response =
+      server.ownResponse(request, status, std::move(body));
   co_await x.send(std::move(response));
 }
 
 /// Answers with a part of a body and breaks the connection off.
-asio::awaitable<void> breakOff(TestServer &server, http::Request request,
-                               http::Exchange &x) {
-  std::vector<http::Header> headers = server.own(request, 200, "").Headers;
+asio::awaitable<void> sendTruncated(TestServer &server, http::Request request,
+                                    http::Exchange &x) {
+  std::vector<http::Header> headers =
+      server.ownResponse(request, 200, "").Headers;
   co_await x.beginBody(200, std::move(headers));
   co_await x.body("half of");
 }
@@ -205,7 +210,7 @@
 asio::awaitable<void> hang() { co_await sleepFor(TestLimit); }
 
 /// What a caller has received of a stream.
-struct Received {
+struct ReceivedStream {
   std::vector<std::string> Ids;
   http::StreamEnd End;
 };
@@ -213,12 +218,12 @@
 class ForwardingTest : public testing::Test {
 protected:
   ForwardingTest() {
-    Plan.Version = 1;
-    Plan.Services = {{"shop", std::nullopt}, {"llm", engine()}};
-    Plan.Routes = {route("/once/", RequestKind::NonIdempotent, "shop"),
-                   route("/often/", RequestKind::Idempotent, "shop"),
-                   route("/stream/", RequestKind::Stream, "llm")};
-    Plan.Routes[1].MaxAttempts = 2;
+    GatewayConfig.Version = 1;
+    GatewayConfig.Services = {{"shop", std::nullopt}, {"llm", engine()}};
+    GatewayConfig.Routes = {route("/once/", RequestKind::NonIdempotent, "shop"),
+                            route("/often/", RequestKind::Idempotent, "shop"),
+                            route("/stream/", RequestKind::Stream, "llm")};
+    GatewayConfig.Routes[1].MaxAttempts = 2;
   }
 
   static EngineTraits engine() {
@@ -248,7 +253,7 @@
     return *Servers.back();
   }
 
-  Source source() {
+  Source storeReader() {
     Source s;
     s.ReadConfig = [this]() -> Source::Answer<ConfigText> {
       if (OnReadConfig)
@@ -270,7 +275,7 @@
       return nextChanges();
     };
     s.DecodeConfig = [this](std::string_view) -> base::Result<Config> {
-      return Plan;
+      return GatewayConfig;
     };
     return s;
   }
@@ -282,7 +287,7 @@
 
   Source::Answer<ServerChanges> nextChanges() {
     while (Changes.empty())
-      co_await sleepFor(Step);
+      co_await sleepFor(PollInterval);
     ServerChanges next;
     next.Changes = std::move(Changes);
     Changes.clear();
@@ -297,12 +302,12 @@
     settings.ReadyListen = freeEndpoint();
     settings.ControlListen = freeEndpoint();
     settings.Retries = {0.2, 50, seconds(10)};
-    auto shell =
-        Shell::start(Io, Clock, settings, platform::makeDialect(), source());
+    auto shell = Shell::start(Io, Clock, settings, platform::makeDialect(),
+                              storeReader());
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
-    At = settings.Listen;
-    ReadyAt = settings.ReadyListen;
+    ListenAddress = settings.Listen;
+    ReadyAddress = settings.ReadyListen;
   }
 
   /// Runs until the coroutine has ended.
@@ -325,11 +330,11 @@
 
   asio::awaitable<void> waitUntil(std::function<bool()> holds) {
     while (!holds())
-      co_await sleepFor(Step);
+      co_await sleepFor(PollInterval);
   }
 
   asio::awaitable<void> waitUntilReady() {
-    co_await waitUntil([this] { return Gateway->world().isReady(); });
+    co_await waitUntil([this] { return Gateway->context().isReady(); });
   }
 
   static http::Request request(std::string method, std::string path) {
@@ -342,32 +347,33 @@
   }
 
   asio::awaitable<http::Response> call(http::Request r) {
-    http::Fetched fetched = co_await http::fetch(At, std::move(r), TestLimit);
+    http::Fetched fetched =
+        co_await http::fetch(ListenAddress, std::move(r), TestLimit);
     EXPECT_TRUE(ok(fetched.Answer));
     if (!ok(fetched.Answer))
       co_return http::Response{0, "", "", {}};
     co_return std::move(value(fetched.Answer));
   }
 
-  asio::awaitable<Received> readStream(std::string path) {
-    Received received;
+  asio::awaitable<ReceivedStream> readStream(std::string path) {
+    ReceivedStream received;
     received.End =
-        co_await http::stream(At, request("POST", std::move(path)), TestLimit,
-                              [&](const http::ServerEvent &event) {
+        co_await http::stream(ListenAddress, request("POST", std::move(path)),
+                              TestLimit, [&](const http::ServerEvent &event) {
                                 received.Ids.push_back(event.Id);
                                 return true;
                               });
     co_return received;
   }
 
-  static void expectInOrder(const Received &received) {
+  static void expectInOrder(const ReceivedStream &received) {
     for (std::size_t i = 0; i < received.Ids.size(); ++i)
       EXPECT_EQ(received.Ids[i], std::to_string(i));
   }
 
   asio::io_context Io{1};
   base::SystemClock Clock;
-  Config Plan;
+  Config GatewayConfig;
   bool HasConfig = true;
   std::function<Source::Answer<ConfigText>(std::uint64_t, milliseconds)>
       WatchConfig;
@@ -375,11 +381,11 @@
   std::vector<std::unique_ptr<TestServer>> Servers;
   std::vector<ServerChange> Changes;
   std::unique_ptr<Shell> Gateway;
-  base::Endpoint At;
-  base::Endpoint ReadyAt;
+  base::Endpoint ListenAddress;
+  base::Endpoint ReadyAddress;
 };
 
-TEST_F(ForwardingTest, WithoutAConfigNothingIsReady) {
+TEST_F(ForwardingTest, GatewayWithoutConfigIsNotReady) {
   HasConfig = false;
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -388,14 +394,14 @@
     EXPECT_FALSE(http::findHeader(r.Headers, "Retry-After").empty());
     http::Request ready{"GET", "/drumlanding/readyz", {}, {}};
     http::Fetched f =
-        co_await http::fetch(ReadyAt, std::move(ready), TestLimit);
+        co_await http::fetch(ReadyAddress, std::move(ready), TestLimit);
     EXPECT_EQ(base::value(f.Answer).Status, 503);
   });
 }
 
 /// A gateway that starts when the config is older than the store's history: it
 /// asked some hundred times a second.
-TEST_F(ForwardingTest, ALostHistoryIsNoReasonToRush) {
+TEST_F(ForwardingTest, ConfigIsRereadWithDelayAfterHistoryCompaction) {
   int reads = 0;
   WatchConfig = [](std::uint64_t, milliseconds) -> Source::Answer<ConfigText> {
     co_return base::Error{base::ErrorCode::NotFound, "test", "history gone"};
@@ -410,10 +416,10 @@
   });
 }
 
-TEST_F(ForwardingTest, AnswersComeBackUnchanged) {
+TEST_F(ForwardingTest, ResponsesAreForwardedUnchanged) {
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [&](http::Request r, http::Exchange &x) {
-    return sendOwn(shop, std::move(r), x, 418, "teapot");
+  shop.OnRequest = [&](http::Request r, http::Exchange &x) {
+    return sendOwnResponse(shop, std::move(r), x, 418, "teapot");
   };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -424,17 +430,17 @@
     EXPECT_EQ(answer.Status, 418);
     EXPECT_EQ(answer.Body, "teapot");
     EXPECT_EQ(http::findHeader(answer.Headers, "X-Served-Stamp"), "s1");
-    EXPECT_EQ(shop.Got.size(), 1U);
-    EXPECT_EQ(shop.Got[0].Target, "/once/x?y=1");
-    EXPECT_EQ(shop.Got[0].Body, "hello");
-    EXPECT_EQ(shop.Got[0].header("X-Expect-Instance"), "s1");
-    EXPECT_FALSE(shop.Got[0].header("X-Deadline-Ms").empty());
+    EXPECT_EQ(shop.Requests.size(), 1U);
+    EXPECT_EQ(shop.Requests[0].Target, "/once/x?y=1");
+    EXPECT_EQ(shop.Requests[0].Body, "hello");
+    EXPECT_EQ(shop.Requests[0].header("X-Expect-Instance"), "s1");
+    EXPECT_FALSE(shop.Requests[0].header("X-Deadline-Ms").empty());
   });
 }
 
 TEST_F(ForwardingTest, KeysAndRoutesAreChecked) {
   addServer("s1", "shop");
-  Plan.Organisations = {{"school", {"k1"}, 0}};
+  GatewayConfig.Organisations = {{"school", {"k1"}, 0}};
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
@@ -442,14 +448,14 @@
     EXPECT_EQ(none.Status, 401);
     const http::Response lost = co_await call(request("GET", "/nowhere"));
     EXPECT_EQ(lost.Status, 404);
-    EXPECT_TRUE(Servers[0]->Got.empty());
+    EXPECT_TRUE(Servers[0]->Requests.empty());
   });
 }
 
-TEST_F(ForwardingTest, OnlyRepeatableRequestsGoToASecondServer) {
+TEST_F(ForwardingTest, OnlyIdempotentRequestsAreRetried) {
   const auto fail = [](TestServer &server, int status) {
-    server.OnCall = [&server, status](http::Request r, http::Exchange &x) {
-      return sendOwn(server, std::move(r), x, status, "failed");
+    server.OnRequest = [&server, status](http::Request r, http::Exchange &x) {
+      return sendOwnResponse(server, std::move(r), x, status, "failed");
     };
   };
   TestServer &one = addServer("s1", "shop");
@@ -461,18 +467,18 @@
     co_await waitUntilReady();
     const http::Response once = co_await call(request("POST", "/once/x"));
     EXPECT_EQ(once.Status, 500);
-    EXPECT_EQ(one.Got.size() + two.Got.size(), 1U);
+    EXPECT_EQ(one.Requests.size() + two.Requests.size(), 1U);
     const http::Response often = co_await call(request("GET", "/often/x"));
     EXPECT_EQ(often.Status, 500);
     EXPECT_EQ(often.Body, "failed");
-    EXPECT_EQ(one.Got.size() + two.Got.size(), 3U);
+    EXPECT_EQ(one.Requests.size() + two.Requests.size(), 3U);
   });
 }
 
-TEST_F(ForwardingTest, ABrokenAnswerIsNeverPassedOnAsWhole) {
+TEST_F(ForwardingTest, TruncatedResponseIsNotForwarded) {
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [&](http::Request r, http::Exchange &x) {
-    return breakOff(shop, std::move(r), x);
+  shop.OnRequest = [&](http::Request r, http::Exchange &x) {
+    return sendTruncated(shop, std::move(r), x);
   };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -481,14 +487,14 @@
     EXPECT_EQ(r.Status, 502);
     EXPECT_EQ(http::findHeader(r.Headers, "Drumlanding-Verdict"),
               "may-have-run");
-    EXPECT_EQ(shop.Got.size(), 1U);
+    EXPECT_EQ(shop.Requests.size(), 1U);
   });
 }
 
-TEST_F(ForwardingTest, AnUnstampedAnswerIsNoAnswer) {
+TEST_F(ForwardingTest, UnstampedResponseIsNotForwarded) {
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [](http::Request r,
-                   http::Exchange &x) -> asio::awaitable<void> {
+  shop.OnRequest = [](http::Request r,
+                      http::Exchange &x) -> asio::awaitable<void> {
     http::Response bare{200, "", "forged", {}};
     bare.Headers.push_back(
         {"X-Attempt-Id", std::string(r.header("X-Attempt-Id"))});
@@ -502,11 +508,11 @@
   });
 }
 
-TEST_F(ForwardingTest, ARefusalThatDidNotRunSaysSo) {
+TEST_F(ForwardingTest, RefusalBeforeRunIsReportedAsNotRun) {
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [&](http::Request r,
-                    http::Exchange &x) -> asio::awaitable<void> {
-    http::Response full = shop.own(r, 503, "full");
+  shop.OnRequest = [&](http::Request r,
+                       http::Exchange &x) -> asio::awaitable<void> {
+    http::Response full = shop.ownResponse(r, 503, "full");
     full.Headers.push_back({"X-Not-Run", "1"});
     co_await x.send(std::move(full));
   };
@@ -521,10 +527,10 @@
   });
 }
 
-TEST_F(ForwardingTest, AnotherServerAtTheAddressIsNotAskedTwice) {
+TEST_F(ForwardingTest, ReplacedServerGetsNoFurtherRequests) {
   TestServer &old = addServer("s1", "shop");
-  old.OnCall = [&](http::Request r, http::Exchange &x) {
-    return sendOwn(old, std::move(r), x, 421, "");
+  old.OnRequest = [&](http::Request r, http::Exchange &x) {
+    return sendOwnResponse(old, std::move(r), x, 421, "");
   };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -533,27 +539,27 @@
     EXPECT_EQ(r.Status, 503);
     const http::Response again = co_await call(request("POST", "/once/x"));
     EXPECT_EQ(again.Status, 503);
-    EXPECT_EQ(old.Got.size(), 1U);
+    EXPECT_EQ(old.Requests.size(), 1U);
   });
 }
 
-TEST_F(ForwardingTest, ARequestIsAnsweredAtItsTimeout) {
-  Plan.Routes[0].Timeout = milliseconds(150);
+TEST_F(ForwardingTest, RequestIsAnsweredAtItsTimeout) {
+  GatewayConfig.Routes[0].Timeout = milliseconds(150);
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [](http::Request, http::Exchange &) { return hang(); };
+  shop.OnRequest = [](http::Request, http::Exchange &) { return hang(); };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
     const http::Response r = co_await call(request("POST", "/once/x"));
     EXPECT_EQ(r.Status, 504);
-    EXPECT_EQ(shop.Got.size(), 1U);
+    EXPECT_EQ(shop.Requests.size(), 1U);
   });
 }
 
-TEST_F(ForwardingTest, AServerThatCannotBeReachedCostsNoAttempt) {
+TEST_F(ForwardingTest, UnreachableServerDoesNotUseAnAttempt) {
   TestServer &shop = addServer("s1", "shop");
-  shop.OnCall = [&](http::Request r, http::Exchange &x) {
-    return sendOwn(shop, std::move(r), x, 200, "served");
+  shop.OnRequest = [&](http::Request r, http::Exchange &x) {
+    return sendOwnResponse(shop, std::move(r), x, 200, "served");
   };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -562,7 +568,7 @@
     gone.Id = "s0";
     gone.Address = freeEndpoint();
     Changes.push_back({"s0", gone});
-    co_await waitUntil([&] { return Gateway->world().Servers.find("s0"); });
+    co_await waitUntil([&] { return Gateway->context().Servers.find("s0"); });
     for (int i = 0; i < 6; ++i) {
       const http::Response r = co_await call(request("POST", "/once/x"));
       EXPECT_EQ(r.Status, 200);
@@ -570,102 +576,105 @@
   });
 }
 
-TEST_F(ForwardingTest, StreamsArriveWhole) {
+TEST_F(ForwardingTest, StreamsArriveComplete) {
   addServer("e1", "llm");
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    const Received r = co_await readStream("/stream/x");
+    const ReceivedStream r = co_await readStream("/stream/x");
     EXPECT_TRUE(r.End.Whole);
     EXPECT_EQ(r.Ids.size(), 30U);
     expectInOrder(r);
   });
 }
 
-TEST_F(ForwardingTest, ABrokenStreamDoesNotLookWhole) {
+TEST_F(ForwardingTest, InterruptedStreamIsNotEndedNormally) {
   TestServer &engine = addServer("e1", "llm");
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    Received r;
-    r.End = co_await http::stream(At, request("POST", "/stream/x"), TestLimit,
-                                  [&](const http::ServerEvent &event) {
-                                    r.Ids.push_back(event.Id);
-                                    engine.IsDead = r.Ids.size() == 5;
-                                    return true;
-                                  });
+    ReceivedStream r;
+    r.End =
+        co_await http::stream(ListenAddress, request("POST", "/stream/x"),
+                              TestLimit, [&](const http::ServerEvent &event) {
+                                r.Ids.push_back(event.Id);
+                                engine.IsDead = r.Ids.size() == 5;
+                                return true;
+                              });
     EXPECT_FALSE(r.End.Whole);
     EXPECT_GE(r.Ids.size(), 5U);
     expectInOrder(r);
   });
 }
 
-TEST_F(ForwardingTest, ACallerThatLeavesEndsItsRun) {
+TEST_F(ForwardingTest, CallerDisconnectEndsTheRun) {
   TestServer &engine = addServer("e1", "llm");
   engine.Events = 1'000'000;
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    co_await http::stream(At, request("POST", "/stream/x"), TestLimit,
+    co_await http::stream(ListenAddress, request("POST", "/stream/x"),
+                          TestLimit,
                           [](const http::ServerEvent &) { return false; });
-    co_await waitUntil([&] { return engine.Gone == 1; });
-    EXPECT_EQ(engine.Got.size(), 1U);
+    co_await waitUntil([&] { return engine.Disconnects == 1; });
+    EXPECT_EQ(engine.Requests.size(), 1U);
   });
 }
 
-TEST_F(ForwardingTest, ALeavingGatewayEndsItsRequestsAndItself) {
+TEST_F(ForwardingTest, LeavingGatewayCompletesOpenRequestsAndStops) {
   addServer("e1", "llm");
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    Received r;
-    r.End = co_await http::stream(At, request("POST", "/stream/x"), TestLimit,
-                                  [&](const http::ServerEvent &event) {
-                                    if (event.Id == "3")
-                                      Gateway->leave();
-                                    r.Ids.push_back(event.Id);
-                                    return true;
-                                  });
+    ReceivedStream r;
+    r.End =
+        co_await http::stream(ListenAddress, request("POST", "/stream/x"),
+                              TestLimit, [&](const http::ServerEvent &event) {
+                                if (event.Id == "3")
+                                  Gateway->shutDown();
+                                r.Ids.push_back(event.Id);
+                                return true;
+                              });
     EXPECT_TRUE(r.End.Whole);
     expectInOrder(r);
-    EXPECT_FALSE(Gateway->world().isReady());
+    EXPECT_FALSE(Gateway->context().isReady());
   });
 }
 
-TEST_F(ForwardingTest, SettingsAreReloadedAndBadOnesRejected) {
+TEST_F(ForwardingTest, ValidSettingsAreReloadedAndInvalidOnesRejected) {
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
-    GatewaySettings fresh = Gateway->world().Settings;
-    fresh.Drain = milliseconds(777);
+    GatewaySettings fresh = Gateway->context().Settings;
+    fresh.DrainTime = milliseconds(777);
     Gateway->reload(fresh);
-    EXPECT_EQ(Gateway->world().Settings.Drain, milliseconds(777));
+    EXPECT_EQ(Gateway->context().Settings.DrainTime, milliseconds(777));
     Gateway->reload(base::invalid("--drain_ms", "bad"));
-    EXPECT_EQ(Gateway->world().Settings.Drain, milliseconds(777));
+    EXPECT_EQ(Gateway->context().Settings.DrainTime, milliseconds(777));
     co_return;
   });
 }
 
 /// A move under each fault: every event arrives at most once and in order, and
 /// the answer is whole exactly when all of them came.
-class MoveTest : public ForwardingTest,
-                 public testing::WithParamInterface<MoveFault> {};
+class MigrationTest : public ForwardingTest,
+                      public testing::WithParamInterface<MigrationFault> {};
 
-TEST_P(MoveTest, EveryEventArrivesOnce) {
-  const MoveFault fault = GetParam();
+TEST_P(MigrationTest, EveryEventArrivesOnce) {
+  const MigrationFault fault = GetParam();
   TestServer &source = addServer("e1", "llm");
-  const bool isAtDestination = fault == MoveFault::DestinationRefuses ||
-                               fault == MoveFault::DestinationDies;
-  source.Fault = isAtDestination ? MoveFault::None : fault;
-  source.Events = MoveEvents;
+  const bool isAtDestination = fault == MigrationFault::DestinationRefuses ||
+                               fault == MigrationFault::DestinationDies;
+  source.Fault = isAtDestination ? MigrationFault::None : fault;
+  source.Events = MigrationEvents;
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
     TestServer &destination = addServer("e2", "llm");
     destination.Fault = fault;
-    destination.Events = MoveEvents;
-    Received r;
+    destination.Events = MigrationEvents;
+    ReceivedStream r;
     r.End = co_await http::stream(
-        At, request("POST", "/stream/x"), TestLimit,
+        ListenAddress, request("POST", "/stream/x"), TestLimit,
         [&](const http::ServerEvent &event) {
           if (event.Id == "3") {
             Changes.push_back({"e2", destination.listed()});
@@ -676,24 +685,28 @@
         });
     expectInOrder(r);
     EXPECT_EQ(r.End.Whole,
-              r.Ids.size() == static_cast<std::size_t>(MoveEvents));
-    const bool isLost = fault == MoveFault::LastAnswerLost ||
-                        fault == MoveFault::DestinationDies ||
-                        fault == MoveFault::SourceDies;
+              r.Ids.size() == static_cast<std::size_t>(MigrationEvents));
+    const bool isLost = fault == MigrationFault::FinalResponseLost ||
+                        fault == MigrationFault::DestinationDies ||
+                        fault == MigrationFault::SourceDies;
     EXPECT_EQ(r.End.Whole, !isLost);
-    if (fault == MoveFault::None || fault == MoveFault::NoRunYet) {
-      EXPECT_EQ(destination.Got.size(), 1U);
+    if (fault == MigrationFault::None || fault == MigrationFault::NoRunYet) {
+      EXPECT_EQ(destination.Requests.size(), 1U);
     }
-    EXPECT_EQ(Gateway->world().Runs.ownRuns().size(), 0U);
+    EXPECT_EQ(Gateway->context().Runs.ownRuns().size(), 0U);
   });
 }
 
-INSTANTIATE_TEST_SUITE_P(
-    Faults, MoveTest,
-    testing::Values(MoveFault::None, MoveFault::NoRunYet, MoveFault::NoRoom,
-                    MoveFault::CopyNeverAnswers, MoveFault::LastFails,
-                    MoveFault::LastAnswerLost, MoveFault::DestinationRefuses,
-                    MoveFault::DestinationDies, MoveFault::SourceDies));
+INSTANTIATE_TEST_SUITE_P(Faults, MigrationTest,
+                         testing::Values(MigrationFault::None,
+                                         MigrationFault::NoRunYet,
+                                         MigrationFault::NoRoom,
+                                         MigrationFault::CopyHangs,
+                                         MigrationFault::FinalCopyFails,
+                                         MigrationFault::FinalResponseLost,
+                                         MigrationFault::DestinationRefuses,
+                                         MigrationFault::DestinationDies,
+                                         MigrationFault::SourceDies));
 
 } // namespace
 } // namespace drumlanding::gateway
--- a/test/store-session-test.cc
+++ b/test/store-session-test.cc
@@ -26,16 +26,16 @@
 
 /// Longer than any test needs, so that a hang ends as a failure.
 constexpr seconds TestLimit{20};
-constexpr milliseconds Step{5};
+constexpr milliseconds PollInterval{5};
 /// For how long another gateway has heard the store without an outage.
-constexpr milliseconds SteadyTime{60'000};
+constexpr milliseconds OutageFreeTime{60'000};
 /// The stated bounds: a confirmed config is in force, and a server that has
 /// left gets no requests, after this time.
-constexpr milliseconds ConfigBound{2'000};
-constexpr milliseconds DrainBound{2'000};
+constexpr milliseconds MaxConfigApplyTime{2'000};
+constexpr milliseconds MaxDrainTime{2'000};
 /// A gateway is in touch again this long after its connections have gone
 /// silent.
-constexpr milliseconds ContactBound{3'000};
+constexpr milliseconds MaxReconnectTime{3'000};
 
 base::Endpoint freeEndpoint() {
   asio::io_context io;
@@ -49,9 +49,9 @@
 }
 
 /// The store's published interface, as far as gateways use it.
-class StoreStandIn {
+class FakeStore {
 public:
-  explicit StoreStandIn(asio::io_context &io) : Address(freeEndpoint()) {
+  explicit FakeStore(asio::io_context &io) : Address(freeEndpoint()) {
     auto made = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
@@ -66,22 +66,22 @@
   void remove(const std::string &key) { Entries[key] = {"", ++Revision, true}; }
 
   /// Connections that are open now never answer; new ones do.
-  void silenceOpenConnections() { ++Generation; }
+  void silenceOpenConnections() { ++ConnectionEpoch; }
 
   base::Endpoint Address;
   /// No call is answered.
-  bool IsCutOff = false;
+  bool IsUnreachable = false;
 
 private:
   struct Entry {
     std::string Value;
     std::uint64_t Revision = 0;
-    bool IsGone = false;
+    bool IsRemoved = false;
   };
 
   static Json toJson(const std::string &key, const Entry &entry) {
     Json json{{"tlsKey", key}, {"rev", entry.Revision}};
-    if (entry.IsGone)
+    if (entry.IsRemoved)
       json["gone"] = true;
     else
       json["value"] = platform::encodeValue(entry.Value);
@@ -89,17 +89,17 @@
   }
 
   Json entries(std::string_view prefix, std::uint64_t after,
-               bool withGone) const {
+               bool withRemoved) const {
     Json list = Json::array();
     for (const auto &[key, entry] : Entries)
       if (key.starts_with(prefix) && entry.Revision > after &&
-          (withGone || !entry.IsGone))
+          (withRemoved || !entry.IsRemoved))
         list.push_back(toJson(key, entry));
     return list;
   }
 
   asio::awaitable<void> serve(http::Request request, http::Exchange &x) {
-    if (IsCutOff) {
+    if (IsUnreachable) {
       co_await sleepFor(TestLimit);
       co_return;
     }
@@ -125,12 +125,12 @@
     const std::string prefix(request.query("pathPrefix"));
     const auto after = std::stoull(std::string(request.query("sinceRev")));
     const milliseconds wait(std::stoll(std::string(request.query("waitMs"))));
-    const int generation = Generation;
+    const int generation = ConnectionEpoch;
     Json events = Json::array();
     for (milliseconds waited{0}; events.empty() && waited < wait;
-         waited += Step) {
-      co_await sleepFor(Step);
-      if (generation != Generation || IsCutOff) {
+         waited += PollInterval) {
+      co_await sleepFor(PollInterval);
+      if (generation != ConnectionEpoch || IsUnreachable) {
         co_await sleepFor(TestLimit);
         co_return;
       }
@@ -142,7 +142,7 @@
 
   std::map<std::string, Entry> Entries;
   std::uint64_t Revision = 1;
-  int Generation = 0;
+  int ConnectionEpoch = 0;
   std::unique_ptr<http::Server> Listener;
 };
 
@@ -183,9 +183,9 @@
 };
 
 /// Another gateway, as far as its messages about the list go.
-class PeerStandIn {
+class FakePeer {
 public:
-  PeerStandIn(asio::io_context &io, std::vector<const CountingServer *> listed)
+  FakePeer(asio::io_context &io, std::vector<const CountingServer *> listed)
       : Address(freeEndpoint()), Listed(std::move(listed)) {
     auto socket = Datagrams::open(io, Address);
     Socket = std::move(value(socket));
@@ -197,13 +197,13 @@
   }
 
   /// Says that it reads the store, and what has gone from the list.
-  void tell(const base::Endpoint &to, const std::string &gone) {
+  void sendGossip(const base::Endpoint &to, const std::string &gone) {
     wire::Gossip message;
     message.set_name("peer");
     message.set_address(base::toString(Address));
     message.set_incarnation(1);
     message.set_watches_list(true);
-    message.set_steady_ms(SteadyTime.count());
+    message.set_steady_ms(OutageFreeTime.count());
     message.set_config_version(ConfigVersion);
     if (!gone.empty())
       message.add_gone_servers()->set_id(gone);
@@ -211,7 +211,7 @@
   }
 
   /// Says, as the process beside a server, that the server leaves.
-  void notify(const base::Endpoint &to, const CountingServer &server) {
+  void sendNotice(const base::Endpoint &to, const CountingServer &server) {
     wire::Gossip message;
     wire::EngineNotice &notice = *message.mutable_notice();
     notice.set_address(base::toString(server.Address));
@@ -281,18 +281,18 @@
 protected:
   StoreSessionTest() {
     Store.put("op/config", config(1, {"/old/"}));
-    Store.put("servers/s1", One.entry().dump());
-    Store.put("servers/s2", Two.entry().dump());
-    asio::co_spawn(Io, report(), asio::detached);
+    Store.put("servers/s1", FirstServer.entry().dump());
+    Store.put("servers/s2", SecondServer.entry().dump());
+    asio::co_spawn(Io, renewEntries(), asio::detached);
   }
 
   /// Servers write their entries all the time.
-  asio::awaitable<void> report() {
-    constexpr milliseconds ReportEvery{300};
+  asio::awaitable<void> renewEntries() {
+    constexpr milliseconds RenewalInterval{300};
     for (;;) {
-      co_await sleepFor(ReportEvery);
-      if (IsTwoListed)
-        Store.put("servers/s2", Two.entry().dump());
+      co_await sleepFor(RenewalInterval);
+      if (IsSecondListed)
+        Store.put("servers/s2", SecondServer.entry().dump());
     }
   }
 
@@ -302,14 +302,14 @@
     settings.Zone = "a";
     settings.Listen = freeEndpoint();
     settings.ReadyListen = freeEndpoint();
-    settings.ControlListen = ControlAt;
+    settings.ControlListen = ControlAddress;
     settings.Seeds = std::move(seeds);
     settings.Retries = {0.2, 50, seconds(10)};
     auto shell = Shell::start(Io, Clock, settings, platform::makeDialect(),
-                              platform::makeSource(Client));
+                              platform::makeSource(StoreClient));
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
-    At = settings.Listen;
+    ListenAddress = settings.Listen;
   }
 
   template <typename Body> void runTest(Body body) {
@@ -317,8 +317,8 @@
     asio::co_spawn(
         Io,
         [&]() -> asio::awaitable<void> {
-          while (!Gateway->world().isReady())
-            co_await sleepFor(Step);
+          while (!Gateway->context().isReady())
+            co_await sleepFor(PollInterval);
           co_await body();
           isDone = true;
           Io.stop();
@@ -337,7 +337,7 @@
                           {{"Host", "a.example"}, {"X-Attempt-Id", "id-1"}},
                           {}};
     http::Fetched fetched =
-        co_await http::fetch(At, std::move(request), TestLimit);
+        co_await http::fetch(ListenAddress, std::move(request), TestLimit);
     co_return ok(fetched.Answer) ? value(fetched.Answer).Status : 0;
   }
 
@@ -350,14 +350,14 @@
 
   asio::io_context Io{1};
   base::SystemClock Clock;
-  StoreStandIn Store{Io};
-  CountingServer One{Io, "s1"};
-  CountingServer Two{Io, "s2"};
-  bool IsTwoListed = true;
-  platform::Store Client{Store.Address};
+  FakeStore Store{Io};
+  CountingServer FirstServer{Io, "s1"};
+  CountingServer SecondServer{Io, "s2"};
+  bool IsSecondListed = true;
+  platform::Store StoreClient{Store.Address};
   std::unique_ptr<Shell> Gateway;
-  base::Endpoint At;
-  base::Endpoint ControlAt = freeEndpoint();
+  base::Endpoint ListenAddress;
+  base::Endpoint ControlAddress = freeEndpoint();
 };
 
 /// Guards against a gateway that goes on with an old config because its open
@@ -369,7 +369,7 @@
     co_await sleepFor(milliseconds(500));
     Store.silenceOpenConnections();
     Store.put("op/config", config(2, {"/old/", "/new/"}));
-    co_await sleepFor(ConfigBound);
+    co_await sleepFor(MaxConfigApplyTime);
     const int status = co_await statusOf("/new/x");
     EXPECT_EQ(status, 200);
   });
@@ -379,26 +379,26 @@
 /// because it takes its own lost session for an outage of the store, though
 /// another gateway reads the store (issue 17, DRAIN).
 TEST_F(StoreSessionTest, AServerThatLeftGetsNothingFromAGatewayThatIsCutOff) {
-  PeerStandIn peer(Io, {&One, &Two});
+  FakePeer peer(Io, {&FirstServer, &SecondServer});
   startGateway({peer.Address});
   runTest([&]() -> asio::awaitable<void> {
-    constexpr milliseconds TellEvery{200};
+    constexpr milliseconds GossipInterval{200};
     // Longer than any watch waits.
-    constexpr seconds CutOff{6};
-    Store.IsCutOff = true;
-    for (milliseconds t{0}; t < CutOff; t += TellEvery) {
-      peer.tell(ControlAt, "");
-      co_await sleepFor(TellEvery);
+    constexpr seconds OutageTime{6};
+    Store.IsUnreachable = true;
+    for (milliseconds t{0}; t < OutageTime; t += GossipInterval) {
+      peer.sendGossip(ControlAddress, "");
+      co_await sleepFor(GossipInterval);
     }
     co_await call(10);
-    One.Requests = 0;
-    peer.Listed = {&Two};
-    for (milliseconds t{0}; t < DrainBound; t += TellEvery) {
-      peer.tell(ControlAt, t == milliseconds(0) ? "s1" : "");
-      co_await sleepFor(TellEvery);
+    FirstServer.Requests = 0;
+    peer.Listed = {&SecondServer};
+    for (milliseconds t{0}; t < MaxDrainTime; t += GossipInterval) {
+      peer.sendGossip(ControlAddress, t == milliseconds(0) ? "s1" : "");
+      co_await sleepFor(GossipInterval);
     }
     co_await call(10);
-    EXPECT_EQ(One.Requests, 0);
+    EXPECT_EQ(FirstServer.Requests, 0);
   });
 }
 
@@ -410,15 +410,16 @@
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await call(4);
-    EXPECT_EQ(One.Requests + Two.Requests, 4);
-    // One that was usable turns unreadable: it names no server any more.
+    EXPECT_EQ(FirstServer.Requests + SecondServer.Requests, 4);
+    // One that was usable turns unreadable: it names no server any
+    // more.
     Store.put("servers/s1", "?");
-    co_await sleepFor(DrainBound);
-    One.Requests = 0;
-    Two.Requests = 0;
+    co_await sleepFor(MaxDrainTime);
+    FirstServer.Requests = 0;
+    SecondServer.Requests = 0;
     co_await call(4);
-    EXPECT_EQ(One.Requests, 0);
-    EXPECT_EQ(Two.Requests, 4);
+    EXPECT_EQ(FirstServer.Requests, 0);
+    EXPECT_EQ(SecondServer.Requests, 4);
   });
 }
 
@@ -426,27 +427,27 @@
 /// relied on (issue 17, CONFIG).
 TEST_F(StoreSessionTest, ALongWatchEndsWhenNoOtherGatewayHearsTheStore) {
   // Two others with a lower rank follow the store for this one.
-  std::vector<std::unique_ptr<PeerStandIn>> others;
-  const std::uint64_t own = base::hash64(base::toString(ControlAt));
+  std::vector<std::unique_ptr<FakePeer>> others;
+  const std::uint64_t own = base::hash64(base::toString(ControlAddress));
   while (others.size() < 2) {
-    auto peer = std::make_unique<PeerStandIn>(
-        Io, std::vector<const CountingServer *>{&One, &Two});
+    auto peer = std::make_unique<FakePeer>(
+        Io, std::vector<const CountingServer *>{&FirstServer, &SecondServer});
     if (base::hash64(base::toString(peer->Address)) < own)
       others.push_back(std::move(peer));
   }
   startGateway({others[0]->Address, others[1]->Address});
   runTest([&]() -> asio::awaitable<void> {
-    constexpr milliseconds TellEvery{100};
-    constexpr seconds Calm{2};
-    for (milliseconds t{0}; t < Calm; t += TellEvery) {
+    constexpr milliseconds GossipInterval{100};
+    constexpr seconds QuietTime{2};
+    for (milliseconds t{0}; t < QuietTime; t += GossipInterval) {
       for (const auto &peer : others)
-        peer->tell(ControlAt, "");
-      co_await sleepFor(TellEvery);
+        peer->sendGossip(ControlAddress, "");
+      co_await sleepFor(GossipInterval);
     }
-    EXPECT_FALSE(Gateway->world().WatchesList);
+    EXPECT_FALSE(Gateway->context().WatchesList);
     Store.silenceOpenConnections();
     Store.put("op/config", config(2, {"/old/", "/new/"}));
-    co_await sleepFor(ContactBound);
+    co_await sleepFor(MaxReconnectTime);
     const int status = co_await statusOf("/new/x");
     EXPECT_EQ(status, 200);
   });
@@ -456,27 +457,27 @@
 /// again though it does not answer and others would, and does nothing else
 /// meanwhile.
 TEST_F(StoreSessionTest, AConfigIsTakenFromAnotherGatewayThoughOneIsSilent) {
-  PeerStandIn one(Io, {&One, &Two});
-  PeerStandIn two(Io, {&One, &Two});
-  for (PeerStandIn *peer : {&one, &two})
+  FakePeer one(Io, {&FirstServer, &SecondServer});
+  FakePeer two(Io, {&FirstServer, &SecondServer});
+  for (FakePeer *peer : {&one, &two})
     peer->ConfigText = config(2, {"/old/", "/new/"});
   startGateway({one.Address, two.Address});
   runTest([&]() -> asio::awaitable<void> {
-    constexpr milliseconds TellEvery{100};
-    Store.IsCutOff = true;
-    for (PeerStandIn *silent : {&one, &two}) {
+    constexpr milliseconds GossipInterval{100};
+    Store.IsUnreachable = true;
+    for (FakePeer *silent : {&one, &two}) {
       one.IsSilent = silent == &one;
       two.IsSilent = silent == &two;
       const int version = silent == &one ? 2 : 3;
       const std::string path = "/new" + std::to_string(version);
-      for (PeerStandIn *peer : {&one, &two}) {
+      for (FakePeer *peer : {&one, &two}) {
         peer->ConfigVersion = static_cast<std::uint64_t>(version);
         peer->ConfigText = config(version, {"/old/", path + "/"});
       }
-      for (milliseconds t{0}; t < ConfigBound; t += TellEvery) {
-        one.tell(ControlAt, "");
-        two.tell(ControlAt, "");
-        co_await sleepFor(TellEvery);
+      for (milliseconds t{0}; t < MaxConfigApplyTime; t += GossipInterval) {
+        one.sendGossip(ControlAddress, "");
+        two.sendGossip(ControlAddress, "");
+        co_await sleepFor(GossipInterval);
       }
       const int status = co_await statusOf(path + "/x");
       EXPECT_EQ(status, 200) << path;
@@ -490,11 +491,11 @@
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     Store.put("op/config", config(3, {"/old/", "/new/"}));
-    co_await sleepFor(ConfigBound);
+    co_await sleepFor(MaxConfigApplyTime);
     int status = co_await statusOf("/new/x");
     EXPECT_EQ(status, 200);
     Store.put("op/config", config(2, {"/old/"}));
-    co_await sleepFor(ConfigBound);
+    co_await sleepFor(MaxConfigApplyTime);
     status = co_await statusOf("/new/x");
     EXPECT_EQ(status, 200);
   });
@@ -503,16 +504,16 @@
 /// Guards against a sidecar's notice that is lost in the gateway (mutants.sh,
 /// sidecar-notice-lost).
 TEST_F(StoreSessionTest, AServerWhoseSidecarSaysThatItLeavesGetsNothing) {
-  PeerStandIn sidecar(Io, {});
+  FakePeer sidecar(Io, {});
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await call(4);
-    sidecar.notify(ControlAt, One);
-    while (!Gateway->world().Servers.find("s1")->IsLeaving)
-      co_await sleepFor(Step);
-    One.Requests = 0;
+    sidecar.sendNotice(ControlAddress, FirstServer);
+    while (!Gateway->context().Servers.find("s1")->IsLeaving)
+      co_await sleepFor(PollInterval);
+    FirstServer.Requests = 0;
     co_await call(10);
-    EXPECT_EQ(One.Requests, 0);
+    EXPECT_EQ(FirstServer.Requests, 0);
   });
 }
 
