--- a/include/drumlanding/agent/core.h
+++ b/include/drumlanding/agent/core.h
@@ -39,17 +39,17 @@
   std::vector<std::string> Tokens;
 };
 /// How a generation left the engine.
-enum class EngineEnd {
-  Finished,   ///< The answer is whole.
-  LetGo,      ///< Off the engine; it can be resumed.
-  Unreached,  ///< The engine was never reached: nothing ran.
-  Refused,    ///< The engine refused to start it: nothing ran.
-  Lost,       ///< The connection broke; what the engine does is unknown.
-  Unresumable ///< The engine no longer knows it.
+enum class EngineOutcome {
+  Finished,       ///< The answer is whole.
+  Released,       ///< Off the engine; it can be resumed.
+  Unreachable,    ///< The engine was never reached: nothing ran.
+  Refused,        ///< The engine refused to start it: nothing ran.
+  ConnectionLost, ///< The connection broke; what the engine does is unknown.
+  Unresumable     ///< The engine no longer knows it.
 };
 struct EngineStreamEnded {
   std::string RequestId;
-  EngineEnd How = EngineEnd::Lost;
+  EngineOutcome Outcome = EngineOutcome::ConnectionLost;
 };
 /// What became of a call of the plain service.
 struct CallEnded {
@@ -69,12 +69,12 @@
 };
 /// One engine step as seen from the token stream.
 struct StepObserved {
-  base::Duration Took{0};
+  base::Duration Elapsed{0};
   std::uint32_t PrefillTokens = 0;
 };
 /// This VM is leaving: the process was told to stop, or reclaimed with a
 /// deadline after which nothing can finish.
-struct LeaveOrdered {
+struct LeaveRequested {
   std::optional<base::Instant> Deadline;
 };
 /// Time has passed; sent every few milliseconds.
@@ -82,7 +82,7 @@
 
 using Event =
     std::variant<RequestArrived, TokensArrived, EngineStreamEnded, CallEnded,
-                 ServerObserved, StepObserved, LeaveOrdered, Tick>;
+                 ServerObserved, StepObserved, LeaveRequested, Tick>;
 
 // Commands.
 
@@ -101,7 +101,7 @@
 /// Takes a generation off the engine; `Keep` asks it to remember it.
 struct StopOnEngine {
   std::string RequestId;
-  bool Keep = false;
+  bool KeepState = false;
 };
 struct CallService {
   std::string RequestId;
@@ -121,7 +121,7 @@
 /// show that it fails without it. All are on in the programs.
 struct Mechanisms {
   bool RememberRequests = true;
-  bool LeaveTombstones = true;
+  bool RecordTombstones = true;
   bool CheckIncarnation = true;
   bool CheckKeyTime = true;
   bool CancelOrphans = true;
@@ -138,11 +138,12 @@
   bundle::TrustedKeys Trusted;
   SchedulerOptions Scheduling;
   std::uint32_t MaxCalls = 64;
-  Mechanisms On;
+  Mechanisms Enabled;
   /// Gets one sentence for each decision.
-  std::function<void(std::string_view part, std::string_view sentence)> Note;
+  std::function<void(std::string_view part, std::string_view sentence)>
+      LogDecision;
   /// Counts for the metrics.
-  std::function<void(std::string_view metric, double by)> Count;
+  std::function<void(std::string_view metric, double by)> IncrementMetric;
 };
 
 class CallTable;
@@ -168,13 +169,13 @@
   void on(base::Now now, CallEnded &e);
   void on(base::Now now, ServerObserved &e);
   void on(base::Now now, StepObserved &e);
-  void on(base::Now now, LeaveOrdered &e);
+  void on(base::Now now, LeaveRequested &e);
   void on(base::Now now, Tick &e);
 
   void start(base::Now now, ReplyId reply, const wire::Request &message);
   void call(base::Now now, ReplyId reply, const wire::Request &message);
   void sync(base::Now now, ReplyId reply, const wire::Sync &message);
-  void offer(base::Now now, const wire::Document &document);
+  void handleDocument(base::Now now, const wire::Document &document);
   base::Refusal admissionRefusal(base::Now now,
                                  const wire::Request &message) const;
   void applyDocuments(base::Now now);
@@ -183,25 +184,25 @@
   wire::Reply emptyReply() const;
   void reply(ReplyId id, wire::Reply message);
   void refuse(ReplyId id, const base::Refusal &refusal);
-  void note(std::string_view part, const std::string &sentence) const;
+  void logDecision(std::string_view part, const std::string &sentence) const;
 
   CoreOptions Options;
   plan::DocumentStore Documents;
-  ServerLifecycle Life;
+  ServerLifecycle Lifecycle;
   std::unique_ptr<GenerationTable> Generations;
   std::unique_ptr<CallTable> Calls;
   Commands Out;
   bool ServerAlive = false;
-  bool LeaveByOrder = false;
-  bool LeaveByList = false;
-  bool LeaveByBundle = false;
-  std::optional<base::Instant> Deadline;
+  bool IsLeaveRequested = false;
+  bool IsListedLeaving = false;
+  bool IsDrainingInBundle = false;
+  std::optional<base::Instant> ReclaimDeadline;
   std::vector<plan::LoadedModel> Models;
   std::uint64_t LoadedFence = 0;
-  base::Instant LastLoad{};
+  base::Instant LastLoadAt{};
   /// Wall time since when the service's servers are the ones of the bundle.
-  base::WallTime RosterSince{};
-  std::vector<std::string> Roster;
+  base::WallTime ServiceServersSince{};
+  std::vector<std::string> ServiceServers;
 };
 
 /// Returns the server that owns an idempotency key: the only one that may run
--- a/include/drumlanding/agent/lengths.h
+++ b/include/drumlanding/agent/lengths.h
@@ -34,43 +34,43 @@
 
   /// Notes that a generation of `cls` went from `from` to `to` tokens without
   /// ending.
-  void passed(LengthClass cls, std::uint32_t from, std::uint32_t to);
+  void recordProgress(LengthClass cls, std::uint32_t from, std::uint32_t to);
 
   /// Notes that a generation ended by itself at `length` tokens.
-  void ended(LengthClass cls, std::uint32_t length);
+  void recordEnd(LengthClass cls, std::uint32_t length);
 
   /// Returns the probability that a generation with `produced` tokens produces
   /// at least `more` further ones. Unknown classes use what all others show,
   /// and before that a cautious prior.
   double survival(LengthClass cls, std::uint32_t produced,
-                  std::uint32_t more) const;
+                  std::uint32_t additional) const;
 
   /// Returns the expected number of further tokens, at most `limit`.
   double expectedRemaining(LengthClass cls, std::uint32_t produced,
                            std::uint32_t limit) const;
 
 private:
-  using Row = std::array<double, Buckets>;
+  using BucketValues = std::array<double, Buckets>;
   /// Faded counts of one class and the survival curve made of them.
   struct Curve {
-    Row Exposure{};
-    Row Ends{};
+    BucketValues Exposure{};
+    BucketValues Ends{};
     /// Logarithm of the probability to get past the end of each bucket.
-    Row LogSurvival{};
-    int Changes = 0;
+    BucketValues LogSurvival{};
+    int ChangesSinceRebuild = 0;
   };
 
   static int bucketOf(std::uint32_t length);
-  static void expose(Curve &curve, int bucket, bool ended);
-  void learn(LengthClass cls, int bucket, bool ended);
-  void rebuild(Curve &curve, const Row &parentHazard);
-  Row hazards(const Curve &curve, const Row &parent) const;
+  static void addObservation(Curve &curve, int bucket, bool ended);
+  void observe(LengthClass cls, int bucket, bool ended);
+  void rebuild(Curve &curve, const BucketValues &parentHazard);
+  BucketValues hazards(const Curve &curve, const BucketValues &parent) const;
   double logSurvivalAt(const Curve &curve, double length) const;
   const Curve &curveOf(LengthClass cls) const;
 
-  Row PriorHazard{};
-  Row AllHazard{};
-  Curve All;
+  BucketValues PriorHazard{};
+  BucketValues AllClassesHazard{};
+  Curve AllClasses;
   std::unordered_map<LengthClass, Curve> Classes;
 };
 
--- a/include/drumlanding/agent/lifecycle.h
+++ b/include/drumlanding/agent/lifecycle.h
@@ -22,11 +22,11 @@
   Failed,    ///< It ended without the whole answer.
 };
 
-enum class GenerationStep : std::uint8_t {
+enum class GenerationEvent : std::uint8_t {
   Submit,
   Token,
   Yield,
-  LetGo,
+  Release,
   Finish,
   Fail,
 };
@@ -40,13 +40,13 @@
   GenerationLifecycle &operator=(GenerationLifecycle &&) noexcept;
 
   /// Takes a step; false, and no change, when the table does not have it.
-  bool apply(GenerationStep step);
+  bool apply(GenerationEvent event);
   GenerationState state() const;
   bool isOver() const;
 
 private:
   struct Machine;
-  std::unique_ptr<Machine> M;
+  std::unique_ptr<Machine> Impl;
 };
 
 enum class ServerState : std::uint8_t {
@@ -56,7 +56,7 @@
   Drained, ///< Leaving, and nothing is in flight.
 };
 
-enum class ServerStep : std::uint8_t { Ready, Leave, Stay, Drain };
+enum class ServerEvent : std::uint8_t { Ready, Leave, CancelLeave, Drain };
 
 /// The lifecycle of an agent's backend server.
 class ServerLifecycle {
@@ -64,12 +64,12 @@
   ServerLifecycle();
   ~ServerLifecycle();
 
-  bool apply(ServerStep step);
+  bool apply(ServerEvent event);
   ServerState state() const;
 
 private:
   struct Machine;
-  std::unique_ptr<Machine> M;
+  std::unique_ptr<Machine> Impl;
 };
 
 std::string_view toString(GenerationState s);
--- a/include/drumlanding/agent/scheduler.h
+++ b/include/drumlanding/agent/scheduler.h
@@ -71,13 +71,13 @@
   /// Tokens reserved for each generation by AdmissionRule::Reserve.
   std::uint32_t ReserveTokens = 4'000;
   /// Part of the memory that organisations above their share may fill.
-  double OverdrawnPart = 0.9;
+  double OverShareCapacityFraction = 0.9;
   /// Forecasts look at most this many tokens ahead.
-  std::uint32_t LongestHorizon = 512;
+  std::uint32_t MaxHorizon = 512;
   /// A yielded generation that has waited this long makes others yield.
   base::milliseconds ForceResumeAfter{6'000};
   /// Replaces the learnt lengths; the bench's oracle knows them all.
-  std::function<double(const JobView &, std::uint32_t more)> Survival;
+  std::function<double(const JobView &, std::uint32_t additional)> Survival;
 };
 
 /// What has to happen now. A yielded generation is resumed by Start again.
@@ -107,22 +107,22 @@
   base::milliseconds predictedWait(const JobSpec &spec) const;
 
   /// Notes `count` tokens of a running generation.
-  void produced(base::Instant now, JobId id, std::uint32_t count);
+  void recordTokens(base::Instant now, JobId id, std::uint32_t count);
 
   /// Notes that a generation that had to yield has left the engine.
-  void yielded(base::Instant now, JobId id);
+  void recordYielded(base::Instant now, JobId id);
 
   /// Forgets a generation; `ended` says that it ended by itself.
   void remove(base::Instant now, JobId id, bool ended);
 
   /// Notes the length of one engine step that prefilled nothing, or some.
-  void stepTook(base::Duration step, std::uint32_t prefillTokens);
+  void recordStep(base::Duration step, std::uint32_t prefillTokens);
 
   Decisions decide(base::Instant now);
 
   void setCapacity(std::uint64_t tokens) { Options.CapacityTokens = tokens; }
   bool contains(JobId id) const { return Jobs.contains(id); }
-  std::uint32_t yieldsOf(JobId id) const;
+  std::uint32_t yieldCount(JobId id) const;
   SchedulerLoad load() const;
   const LengthModel &lengths() const { return Lengths; }
 
@@ -141,9 +141,9 @@
     std::uint32_t Yields = 0;
     /// Tokens to prefill at the last start.
     std::uint32_t PrefillTokens = 0;
-    base::Instant Since;
+    base::Instant StateSince;
     /// Produced when the forecast was last made.
-    std::uint32_t ForecastAt = 0;
+    std::uint32_t ForecastProduced = 0;
     PerHorizon Mean{};
     PerHorizon Variance{};
     std::uint64_t tokens() const { return Spec.PromptTokens + Produced; }
@@ -161,31 +161,31 @@
   };
 
   bool isOnEngine(const Job &job) const;
-  double survival(const Job &job, std::uint32_t more) const;
+  double survival(const Job &job, std::uint32_t additional) const;
   void forecast(Job &job);
   void addForecast(const Job &job, double sign);
-  void putOnEngine(base::Instant now, Job &job);
-  void takeOffEngine(Job &job);
+  void placeOnEngine(base::Instant now, Job &job);
+  void removeFromEngine(Job &job);
   void activate(Tenant &tenant);
-  double leastAttained() const;
+  double minAttained() const;
 
-  std::uint64_t roomLimit(const Job &job) const;
-  bool isOverdrawn(const Tenant &tenant) const;
+  std::uint64_t capacityLimit(const Job &job) const;
+  bool exceedsFairShare(const Tenant &tenant) const;
   bool fitsNow(const Job &job) const;
   bool fitsForecast(const Job &job, std::uint64_t limit) const;
-  bool fits(Job &job);
-  bool prefillAllows(const Job &job) const;
+  bool canAdmit(Job &job);
+  bool isWithinPrefillBudget(const Job &job) const;
   double riskFactor() const;
-  void fadeRisk(base::Instant now);
+  void decayRisk(base::Instant now);
   base::milliseconds stepTarget() const;
 
   Job *nextWaiting();
-  void relieve(base::Instant now, Decisions &out);
-  Job *victim();
+  void yieldForCapacity(base::Instant now, Decisions &out);
+  Job *selectVictim();
   bool resume(base::Instant now, Decisions &out);
-  void makeRoomForOldest(base::Instant now, Decisions &out);
+  void yieldForOldest(base::Instant now, Decisions &out);
   void yield(base::Instant now, Job &job, Decisions &out);
-  bool fitsBack(const Job &job) const;
+  bool canResume(const Job &job) const;
   void admit(base::Instant now, Decisions &out);
 
   SchedulerOptions Options;
@@ -199,7 +199,7 @@
   std::uint32_t WaitingJobs = 0;
   std::uint64_t PrefillInFlight = 0;
   double RiskBoost = 0;
-  base::Instant RiskFadedAt{};
+  base::Instant RiskDecayedAt{};
   double StallWeightSum = 0;
   double GapWeightSum = 0;
   PerHorizon MeanSum{};
@@ -208,7 +208,7 @@
   double PlainStepMs = 30;
   double PrefillTokenMs = 0.1;
   /// Time between admissions, faded; for the predicted wait.
-  double AdmissionMs = 0;
+  double AdmissionIntervalMs = 0;
   base::Instant LastAdmission{};
 };
 
--- a/include/drumlanding/wire/link.h
+++ b/include/drumlanding/wire/link.h
@@ -43,14 +43,14 @@
                  const std::string &payload);
 
 /// What `open` finds in an authentic envelope.
-struct Opened {
+struct OpenedEnvelope {
   std::uint64_t Nonce = 0;
   std::string Payload;
 };
 
 /// Checks and unpacks what `seal` made; an error for anything else.
-base::Result<Opened> open(const ControlKey &key, bool isReply,
-                          std::string_view bytes);
+base::Result<OpenedEnvelope> open(const ControlKey &key, bool isReply,
+                                  std::string_view bytes);
 
 /// Listens for requests.
 class Server {
--- a/src/agent/call-table.cc
+++ b/src/agent/call-table.cc
@@ -15,12 +15,12 @@
 using base::Verdict;
 
 /// Records outlive the keys' window by more than any clock's error.
-constexpr seconds Retention = KeyWindow + seconds(60);
-constexpr seconds SweepEvery{5};
-constexpr base::milliseconds RetryWhenBusy{200};
-constexpr base::milliseconds RetryAfterLoss{500};
+constexpr seconds RecordRetention = MaxKeyAge + seconds(60);
+constexpr seconds SweepInterval{5};
+constexpr base::milliseconds OverloadRetryDelay{200};
+constexpr base::milliseconds LossRetryDelay{500};
 /// A larger answer is not kept for repeats.
-constexpr std::size_t LargestKeptAnswer = 64 << 10;
+constexpr std::size_t MaxStoredAnswerBytes = 64 << 10;
 
 std::uint64_t fingerprintOf(const wire::Call &call) {
   const std::uint64_t head = base::hash64(call.method() + " " + call.path());
@@ -46,84 +46,86 @@
   Out.push_back(SendReply{reply, std::move(message)});
 }
 
-void CallTable::refuseForGood(base::Now now, ReplyId reply,
-                              const std::string &attempt,
-                              const Refusal &refusal) {
-  if (Options.On.LeaveTombstones)
+void CallTable::refuseAndTombstone(base::Now now, ReplyId reply,
+                                   const std::string &attempt,
+                                   const Refusal &refusal) {
+  if (Options.Enabled.RecordTombstones)
     Tombstones[attempt] = now.Steady;
   refuse(reply, refusal);
 }
 
 void CallTable::call(base::Now now, ReplyId reply, const wire::Call &call,
-                     base::WallTime keysFrom) {
+                     base::WallTime keysCompleteSince) {
   if (Tombstones.contains(call.attempt())) {
     refuse(reply, {Verdict::NotRun, Reason::Revoked, {}});
     return;
   }
-  const auto known = All.find(call.request_id());
-  if (known != All.end() && Options.On.RememberRequests) {
-    answerAgain(now, reply, call, known->second);
+  const auto existing = Records.find(call.request_id());
+  if (existing != Records.end() && Options.Enabled.RememberRequests) {
+    replyToDuplicate(now, reply, call, existing->second);
     return;
   }
   const base::WallTime keyTime{base::milliseconds(call.key_time_ms())};
-  const bool isUnproven = keyTime < keysFrom || now.Wall - keyTime > KeyWindow;
-  if (!call.repeatable() && isUnproven && Options.On.CheckKeyTime) {
+  const bool isKeyTimeUnproven =
+      keyTime < keysCompleteSince || now.Wall - keyTime > MaxKeyAge;
+  if (!call.repeatable() && isKeyTimeUnproven && Options.Enabled.CheckKeyTime) {
     // An earlier incarnation or owner may have run it and forgotten.
     refuse(reply, {Verdict::MayHaveRun, Reason::KeyTimeUnproven, {}});
     return;
   }
-  if (Open >= Options.MaxCalls) {
-    refuseForGood(now, reply, call.attempt(),
-                  {Verdict::NotRun, Reason::Overloaded, RetryWhenBusy});
+  if (OpenCount >= Options.MaxCalls) {
+    refuseAndTombstone(
+        now, reply, call.attempt(),
+        {Verdict::NotRun, Reason::Overloaded, OverloadRetryDelay});
     return;
   }
-  Record &record = All[call.request_id()];
+  Record &record = Records[call.request_id()];
   record.Repeatable = call.repeatable();
   record.Fingerprint = fingerprintOf(call);
-  record.Followers.push_back(reply);
+  record.WaitingReplies.push_back(reply);
   record.Attempts.push_back(call.attempt());
   invariant(Invariant::RunsAtMostOnce, record.Repeatable || record.Starts == 0,
             call.request_id());
   ++record.Starts;
-  ++Open;
+  ++OpenCount;
   Out.push_back(CallService{call.request_id(), call});
 }
 
-void CallTable::answerAgain(base::Now now, ReplyId reply,
-                            const wire::Call &call, Record &record) {
+void CallTable::replyToDuplicate(base::Now now, ReplyId reply,
+                                 const wire::Call &call, Record &record) {
   if (record.Fingerprint != fingerprintOf(call)) {
-    refuseForGood(now, reply, call.attempt(),
-                  {Verdict::NotRun, Reason::KeyReused, {}});
+    refuseAndTombstone(now, reply, call.attempt(),
+                       {Verdict::NotRun, Reason::KeyReused, {}});
     return;
   }
   if (record.State != CallState::Running) {
     answer(reply, record);
     return;
   }
-  record.Followers.push_back(reply);
+  record.WaitingReplies.push_back(reply);
   record.Attempts.push_back(call.attempt());
 }
 
 void CallTable::revoke(base::Now now, ReplyId reply,
                        const wire::Revoke &message) {
-  const auto it = All.find(message.request_id());
-  if (it == All.end()) {
-    refuseForGood(now, reply, message.attempt(),
-                  {Verdict::NotRun, Reason::Revoked, {}});
+  const auto it = Records.find(message.request_id());
+  if (it == Records.end()) {
+    refuseAndTombstone(now, reply, message.attempt(),
+                       {Verdict::NotRun, Reason::Revoked, {}});
     return;
   }
   if (it->second.State == CallState::Running)
-    it->second.Followers.push_back(reply);
+    it->second.WaitingReplies.push_back(reply);
   else
     answer(reply, it->second);
 }
 
-void CallTable::ended(base::Now now, const CallEnded &e) {
-  const auto it = All.find(e.RequestId);
-  if (it == All.end() || it->second.State != CallState::Running)
+void CallTable::onCallEnded(base::Now now, const CallEnded &e) {
+  const auto it = Records.find(e.RequestId);
+  if (it == Records.end() || it->second.State != CallState::Running)
     return;
   Record &record = it->second;
-  --Open;
+  --OpenCount;
   record.EndedAt = now.Steady;
   if (e.Answered) {
     record.State = CallState::Answered;
@@ -132,21 +134,21 @@
   } else {
     record.State = CallState::Failed;
     record.Failure = {e.Reached ? Verdict::MayHaveRun : Verdict::NotRun,
-                      Reason::BackendServerLost, RetryAfterLoss};
+                      Reason::BackendServerLost, LossRetryDelay};
   }
-  for (ReplyId follower : record.Followers)
-    answer(follower, record);
-  record.Followers.clear();
+  for (ReplyId waiting : record.WaitingReplies)
+    answer(waiting, record);
+  record.WaitingReplies.clear();
   // A proven "not run" leaves the key free for another try.
-  const bool mayRunAgain = !e.Answered && !e.Reached;
-  if (mayRunAgain)
+  const bool isProvenNotRun = !e.Answered && !e.Reached;
+  if (isProvenNotRun)
     for (const std::string &attempt : record.Attempts)
       Tombstones[attempt] = now.Steady;
-  if (mayRunAgain || record.Repeatable) {
-    All.erase(it);
+  if (isProvenNotRun || record.Repeatable) {
+    Records.erase(it);
     return;
   }
-  if (record.Reply.body().size() > LargestKeptAnswer) {
+  if (record.Reply.body().size() > MaxStoredAnswerBytes) {
     record.State = CallState::Failed;
     record.Reply.Clear();
     record.Failure = {Verdict::Ran, Reason::AnswerTooLarge, {}};
@@ -154,15 +156,15 @@
 }
 
 void CallTable::tick(base::Now now) {
-  if (now.Steady - LastSweep < SweepEvery)
+  if (now.Steady - LastSweep < SweepInterval)
     return;
   LastSweep = now.Steady;
-  std::erase_if(All, [&](const auto &entry) {
+  std::erase_if(Records, [&](const auto &entry) {
     return entry.second.State != CallState::Running &&
-           now.Steady - entry.second.EndedAt > Retention;
+           now.Steady - entry.second.EndedAt > RecordRetention;
   });
   std::erase_if(Tombstones, [&](const auto &entry) {
-    return now.Steady - entry.second > Retention;
+    return now.Steady - entry.second > RecordRetention;
   });
 }
 
--- a/src/agent/call-table.h
+++ b/src/agent/call-table.h
@@ -16,16 +16,17 @@
   /// Runs a call, or answers it as before. `keysFrom` is the wall time since
   /// when this process has seen every key that it owns.
   void call(base::Now now, ReplyId reply, const wire::Call &call,
-            base::WallTime keysFrom);
+            base::WallTime keysCompleteSince);
   void revoke(base::Now now, ReplyId reply, const wire::Revoke &message);
-  bool knows(const std::string &id) const { return All.contains(id); }
+  bool contains(const std::string &id) const { return Records.contains(id); }
   /// Refuses a call as "not run" and remembers that this attempt must not run
   /// later, when a copy of it arrives.
-  void refuseForGood(base::Now now, ReplyId reply, const std::string &attempt,
-                     const base::Refusal &refusal);
-  void ended(base::Now now, const CallEnded &e);
+  void refuseAndTombstone(base::Now now, ReplyId reply,
+                          const std::string &attempt,
+                          const base::Refusal &refusal);
+  void onCallEnded(base::Now now, const CallEnded &e);
   void tick(base::Now now);
-  std::size_t open() const { return Open; }
+  std::size_t openCount() const { return OpenCount; }
 
 private:
   enum class CallState { Running, Answered, Failed };
@@ -35,7 +36,7 @@
     std::uint64_t Fingerprint = 0;
     wire::CallReply Reply;
     base::Refusal Failure;
-    std::vector<ReplyId> Followers;
+    std::vector<ReplyId> WaitingReplies;
     /// Every attempt that asked for this call.
     std::vector<std::string> Attempts;
     base::Instant EndedAt;
@@ -44,20 +45,20 @@
   };
 
   void answer(ReplyId reply, const Record &record);
-  void answerAgain(base::Now now, ReplyId reply, const wire::Call &call,
-                   Record &record);
+  void replyToDuplicate(base::Now now, ReplyId reply, const wire::Call &call,
+                        Record &record);
   void refuse(ReplyId reply, const base::Refusal &refusal);
 
   const CoreOptions &Options;
   Commands &Out;
-  std::unordered_map<std::string, Record> All;
+  std::unordered_map<std::string, Record> Records;
   /// Attempts that were answered "not run", and when.
   std::unordered_map<std::string, base::Instant> Tombstones;
-  std::size_t Open = 0;
+  std::size_t OpenCount = 0;
   base::Instant LastSweep;
 };
 
 /// Keys older than this are refused; records are kept longer.
-inline constexpr base::seconds KeyWindow{600};
+inline constexpr base::seconds MaxKeyAge{600};
 
 } // namespace drumlanding::agent
--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -20,19 +20,19 @@
 using base::seconds;
 using base::Verdict;
 
-constexpr milliseconds RetryBehind{200};
-constexpr milliseconds RetryNotReady{1'000};
+constexpr milliseconds ShortRetryDelay{200};
+constexpr milliseconds NotReadyRetryDelay{1'000};
 /// Most by which the clocks of two VMs may differ.
-constexpr seconds ClockError{5};
+constexpr seconds MaxClockSkew{5};
 /// A bundle is in force everywhere after this long; see the users' target.
-constexpr seconds PropagationLimit{11};
+constexpr seconds MaxBundlePropagation{11};
 /// An order to load that had no effect is given again after this long.
-constexpr seconds LoadAgainAfter{20};
+constexpr seconds LoadRetryInterval{20};
 /// What is still on the engine this long before a reclaim is given up.
 constexpr milliseconds ReclaimMargin{500};
 
-bool holds(const std::vector<plan::LoadedModel> &models,
-           const wire::Start &start) {
+bool isModelLoaded(const std::vector<plan::LoadedModel> &models,
+                   const wire::Start &start) {
   return std::any_of(
       models.begin(), models.end(), [&](const plan::LoadedModel &m) {
         const bool hasAdapter = start.adapter().empty() ||
@@ -64,20 +64,21 @@
     : Options(std::move(options)), Documents(Options.Trusted),
       Generations(std::make_unique<GenerationTable>(Options, Out)),
       Calls(std::make_unique<CallTable>(Options, Out)),
-      RosterSince(Options.StartedAt) {}
+      ServiceServersSince(Options.StartedAt) {}
 
 Core::~Core() = default;
 
-void Core::note(std::string_view part, const std::string &sentence) const {
-  if (Options.Note)
-    Options.Note(part, sentence);
+void Core::logDecision(std::string_view part,
+                       const std::string &sentence) const {
+  if (Options.LogDecision)
+    Options.LogDecision(part, sentence);
 }
 
-ServerState Core::serverState() const { return Life.state(); }
+ServerState Core::serverState() const { return Lifecycle.state(); }
 SchedulerLoad Core::load() const { return Generations->load(); }
 
 bool Core::hasWork() const {
-  return Generations->open() > 0 || Calls->open() > 0;
+  return Generations->openCount() > 0 || Calls->openCount() > 0;
 }
 
 Commands Core::handle(base::Now now, Event event) {
@@ -128,7 +129,7 @@
     sync(now, e.Reply, m.sync());
     return;
   case wire::Request::kPush:
-    offer(now, m.push().document());
+    handleDocument(now, m.push().document());
     sync(now, e.Reply, wire::Sync());
     return;
   case wire::Request::kFetch: {
@@ -152,34 +153,36 @@
       isStart ? message.start().not_after_ms() : message.call().not_after_ms();
   if (now.Wall.time_since_epoch().count() > notAfter)
     return {Verdict::NotRun, Reason::Expired, {}};
-  if (!Documents.bundle() || Life.state() == ServerState::Starting)
-    return {Verdict::NotRun, Reason::NotReady, RetryNotReady};
-  const bool isLeaving = Life.state() == ServerState::Leaving ||
-                         Life.state() == ServerState::Drained;
-  if (isLeaving && Options.On.RefuseWhenLeaving)
-    return {Verdict::NotRun, Reason::Leaving, RetryBehind};
+  if (!Documents.bundle() || Lifecycle.state() == ServerState::Starting)
+    return {Verdict::NotRun, Reason::NotReady, NotReadyRetryDelay};
+  const bool isLeaving = Lifecycle.state() == ServerState::Leaving ||
+                         Lifecycle.state() == ServerState::Drained;
+  if (isLeaving && Options.Enabled.RefuseWhenLeaving)
+    return {Verdict::NotRun, Reason::Leaving, ShortRetryDelay};
   // The higher version governs; who is behind gets the document first.
   const std::uint64_t theirs = message.versions().bundle();
   const std::uint64_t ours = Documents.versions().bundle();
   if (theirs > ours)
-    return {Verdict::NotRun, Reason::BundleBehind, RetryBehind};
+    return {Verdict::NotRun, Reason::BundleBehind, ShortRetryDelay};
   if (theirs < ours)
-    return {Verdict::NotRun, Reason::SenderBehind, RetryBehind};
+    return {Verdict::NotRun, Reason::SenderBehind, ShortRetryDelay};
   if (!ServerAlive)
-    return {Verdict::NotRun, Reason::NoBackendServer, RetryNotReady};
+    return {Verdict::NotRun, Reason::NoBackendServer, NotReadyRetryDelay};
   return {};
 }
 
 void Core::start(base::Now now, ReplyId id, const wire::Request &message) {
   const wire::Start &start = message.start();
-  if (Generations->knows(start.request_id()) && Options.On.RememberRequests) {
-    Generations->answerAgain(id, start.request_id());
+  if (Generations->contains(start.request_id()) &&
+      Options.Enabled.RememberRequests) {
+    Generations->replyToDuplicate(id, start.request_id());
     return;
   }
-  const bool isOther =
+  const bool isOtherIncarnation =
       start.incarnation() != 0 && start.incarnation() != Options.Incarnation;
-  if (isOther && Options.On.CheckIncarnation) {
-    refuse(id, {Verdict::MayHaveRun, Reason::OtherIncarnation, RetryBehind});
+  if (isOtherIncarnation && Options.Enabled.CheckIncarnation) {
+    refuse(id,
+           {Verdict::MayHaveRun, Reason::OtherIncarnation, ShortRetryDelay});
     return;
   }
   Refusal refusal = admissionRefusal(now, message);
@@ -189,8 +192,8 @@
   JobSpec spec;
   if (refusal.Why == Reason::None && !organisation)
     refusal = {Verdict::NotRun, Reason::UnknownOrganisation, {}};
-  if (refusal.Why == Reason::None && !holds(Models, start))
-    refusal = {Verdict::NotRun, Reason::UnknownModel, RetryNotReady};
+  if (refusal.Why == Reason::None && !isModelLoaded(Models, start))
+    refusal = {Verdict::NotRun, Reason::UnknownModel, NotReadyRetryDelay};
   if (refusal.Why == Reason::None) {
     const bundle::Contract &contract = organisation->Contract;
     spec = {
@@ -204,14 +207,15 @@
       refusal = {Verdict::NotRun, Reason::Overloaded, wait};
   }
   if (refusal.Why != Reason::None) {
-    note("agent.admit", fmt::format("refuse request={} reason={}",
-                                    start.request_id(), toString(refusal.Why)));
-    Generations->leaveTombstone(now, start.request_id());
+    logDecision("agent.admit",
+                fmt::format("refuse request={} reason={}", start.request_id(),
+                            toString(refusal.Why)));
+    Generations->recordTombstone(now, start.request_id());
     refuse(id, refusal);
     return;
   }
-  const bool isLeaving = Life.state() == ServerState::Leaving ||
-                         Life.state() == ServerState::Drained;
+  const bool isLeaving = Lifecycle.state() == ServerState::Leaving ||
+                         Lifecycle.state() == ServerState::Drained;
   invariant(Invariant::NoWorkWhenLeaving, !isLeaving, start.request_id());
   Generations->start(now, id, start, spec);
 }
@@ -219,26 +223,26 @@
 void Core::call(base::Now now, ReplyId id, const wire::Request &message) {
   const wire::Call &call = message.call();
   const bool isKnown =
-      Calls->knows(call.request_id()) && Options.On.RememberRequests;
+      Calls->contains(call.request_id()) && Options.Enabled.RememberRequests;
   if (!isKnown) {
     Refusal refusal = admissionRefusal(now, message);
     const bool isOwner =
         call.repeatable() ||
-        ownerOfKey(Roster, call.request_id()) == Options.Server;
+        ownerOfKey(ServiceServers, call.request_id()) == Options.Server;
     if (refusal.Why == Reason::None && !isOwner)
-      refusal = {Verdict::NotRun, Reason::WrongOwner, RetryBehind};
+      refusal = {Verdict::NotRun, Reason::WrongOwner, ShortRetryDelay};
     if (refusal.Why != Reason::None) {
-      Calls->refuseForGood(now, id, call.attempt(), refusal);
+      Calls->refuseAndTombstone(now, id, call.attempt(), refusal);
       return;
     }
   }
-  Calls->call(now, id, call, RosterSince + ClockError);
+  Calls->call(now, id, call, ServiceServersSince + MaxClockSkew);
 }
 
 void Core::sync(base::Now now, ReplyId id, const wire::Sync &message) {
-  if (message.listed_leaving() && !LeaveByList) {
-    LeaveByList = true;
-    note("agent.drain", "leaving: the platform's list says so");
+  if (message.listed_leaving() && !IsListedLeaving) {
+    IsListedLeaving = true;
+    logDecision("agent.drain", "leaving: the platform's list says so");
   }
   applyDocuments(now);
   wire::Reply answer;
@@ -246,12 +250,12 @@
   reply(id, std::move(answer));
 }
 
-void Core::offer(base::Now now, const wire::Document &document) {
+void Core::handleDocument(base::Now now, const wire::Document &document) {
   std::string why;
   const plan::Offer offer = Documents.unpack(now.Wall, document, &why);
-  note("agent.document",
-       fmt::format("offered {}: {} {}", plan::toString(document.kind()),
-                   plan::toString(offer), why));
+  logDecision("agent.document",
+              fmt::format("offered {}: {} {}", plan::toString(document.kind()),
+                          plan::toString(offer), why));
   if (offer == plan::Offer::Taken)
     applyDocuments(now);
 }
@@ -260,13 +264,13 @@
   const auto bundle = Documents.bundle();
   if (!bundle)
     return;
-  LeaveByBundle = bundle->isDraining(Options.Server);
+  IsDrainingInBundle = bundle->isDraining(Options.Server);
   const bundle::Service *service = bundle->service(Options.Service);
-  if (service && service->Servers != Roster) {
+  if (service && service->Servers != ServiceServers) {
     // Keys from before another list was in force may have run elsewhere.
-    if (!Roster.empty())
-      RosterSince = now.Wall + PropagationLimit;
-    Roster = service->Servers;
+    if (!ServiceServers.empty())
+      ServiceServersSince = now.Wall + MaxBundlePropagation;
+    ServiceServers = service->Servers;
   }
   const auto plan = Documents.plan();
   const plan::Assignment *assignment =
@@ -276,47 +280,50 @@
   invariant(Invariant::VersionNeverFalls, plan->Version >= LoadedFence,
             "order to the engine");
   const bool isNew = plan->Version > LoadedFence;
-  const bool isOverdue = now.Steady - LastLoad > LoadAgainAfter;
+  const bool isOverdue = now.Steady - LastLoadAt > LoadRetryInterval;
   if (assignment->Models == Models || (!isNew && !isOverdue))
     return;
   LoadedFence = plan->Version;
-  LastLoad = now.Steady;
-  note("agent.place", fmt::format("load models={} fence={}",
-                                  assignment->Models.size(), LoadedFence));
+  LastLoadAt = now.Steady;
+  logDecision("agent.place",
+              fmt::format("load models={} fence={}", assignment->Models.size(),
+                          LoadedFence));
   Out.push_back(LoadOnEngine{LoadedFence, assignment->Models});
 }
 
 void Core::updateServerState() {
-  const bool leave = LeaveByOrder || LeaveByList || LeaveByBundle;
-  const ServerState before = Life.state();
+  const bool leave = IsLeaveRequested || IsListedLeaving || IsDrainingInBundle;
+  const ServerState before = Lifecycle.state();
   if (before == ServerState::Starting && Documents.bundle() && ServerAlive)
-    Life.apply(ServerStep::Ready);
-  const ServerState now = Life.state();
+    Lifecycle.apply(ServerEvent::Ready);
+  const ServerState now = Lifecycle.state();
   const bool isLeaving =
       now == ServerState::Leaving || now == ServerState::Drained;
   if (leave && !isLeaving)
-    Life.apply(ServerStep::Leave);
+    Lifecycle.apply(ServerEvent::Leave);
   if (!leave && isLeaving)
-    Life.apply(ServerStep::Stay);
-  if (Life.state() == ServerState::Leaving && !hasWork())
-    Life.apply(ServerStep::Drain);
-  if (Life.state() != before)
-    note("agent.drain", fmt::format("state {} -> {}", toString(before),
-                                    toString(Life.state())));
+    Lifecycle.apply(ServerEvent::CancelLeave);
+  if (Lifecycle.state() == ServerState::Leaving && !hasWork())
+    Lifecycle.apply(ServerEvent::Drain);
+  if (Lifecycle.state() != before)
+    logDecision("agent.drain", fmt::format("state {} -> {}", toString(before),
+                                           toString(Lifecycle.state())));
 }
 
-void Core::on(base::Now now, TokensArrived &e) { Generations->tokens(now, e); }
+void Core::on(base::Now now, TokensArrived &e) {
+  Generations->onTokens(now, e);
+}
 
 void Core::on(base::Now now, EngineStreamEnded &e) {
-  Generations->ended(now, e);
+  Generations->onStreamEnded(now, e);
 }
 
-void Core::on(base::Now now, CallEnded &e) { Calls->ended(now, e); }
+void Core::on(base::Now now, CallEnded &e) { Calls->onCallEnded(now, e); }
 
 void Core::on(base::Now now, ServerObserved &e) {
   if (ServerAlive && !e.IsAlive) {
-    note("agent.engine", "the backend server no longer answers");
-    Generations->serverLost(now);
+    logDecision("agent.engine", "the backend server no longer answers");
+    Generations->onServerLost(now);
   }
   if (!ServerAlive && e.IsAlive)
     LoadedFence = 0; // a new engine has loaded nothing of the plan
@@ -327,18 +334,18 @@
   applyDocuments(now);
 }
 
-void Core::on(base::Now, StepObserved &e) { Generations->stepTook(e); }
+void Core::on(base::Now, StepObserved &e) { Generations->recordStep(e); }
 
-void Core::on(base::Now now, LeaveOrdered &e) {
-  LeaveByOrder = true;
-  Deadline = e.Deadline;
-  if (Deadline)
-    Generations->reclaim(now, false);
+void Core::on(base::Now now, LeaveRequested &e) {
+  IsLeaveRequested = true;
+  ReclaimDeadline = e.Deadline;
+  if (ReclaimDeadline)
+    Generations->failForReclaim(now, false);
 }
 
 void Core::on(base::Now now, Tick &) {
-  if (Deadline && now.Steady + ReclaimMargin >= *Deadline)
-    Generations->reclaim(now, true);
+  if (ReclaimDeadline && now.Steady + ReclaimMargin >= *ReclaimDeadline)
+    Generations->failForReclaim(now, true);
   Generations->tick(now, ServerAlive);
   Calls->tick(now);
 }
@@ -346,13 +353,14 @@
 wire::Report Core::report(std::uint64_t knownModels) const {
   wire::Report report;
   const SchedulerLoad load = Generations->load();
-  report.set_running(load.Running + static_cast<std::uint32_t>(Calls->open()));
+  report.set_running(load.Running +
+                     static_cast<std::uint32_t>(Calls->openCount()));
   report.set_waiting(load.Waiting);
   report.set_used_tokens(load.UsedTokens);
   report.set_capacity_tokens(load.CapacityTokens);
   report.set_predicted_wait_ms(
       static_cast<std::uint32_t>(load.PredictedWait.count()));
-  report.set_leaving(Life.state() != ServerState::Serving);
+  report.set_leaving(Lifecycle.state() != ServerState::Serving);
   for (const plan::LoadedModel &m : Models) {
     report.add_models(m.Model + "@" + m.Version);
     for (const std::string &adapter : m.Adapters)
--- a/src/agent/generation-table.cc
+++ b/src/agent/generation-table.cc
@@ -18,23 +18,23 @@
 
 /// Ended generations and tombstones are kept this long. It must be longer than
 /// any Start can be on its way; see Start.not_after_ms.
-constexpr seconds Retention{120};
+constexpr seconds EndedRetention{120};
 /// A generation that no entry has asked after for this long is cancelled.
-constexpr seconds OrphanAfter{15};
-constexpr seconds SweepEvery{1};
-constexpr seconds LongestPoll{10};
-constexpr base::milliseconds RetryAfterLoss{500};
+constexpr seconds OrphanTimeout{15};
+constexpr seconds SweepInterval{1};
+constexpr seconds MaxPollWait{10};
+constexpr base::milliseconds LossRetryDelay{500};
 /// Most tokens in one reply, so that a resumed stream cannot fill the link.
-constexpr std::size_t TokensPerPart = 2'000;
+constexpr std::size_t MaxTokensPerPart = 2'000;
 
 } // namespace
 
 GenerationTable::GenerationTable(const CoreOptions &options, Commands &out)
-    : Options(options), Out(out), Schedule(options.Scheduling) {}
+    : Options(options), Out(out), JobScheduler(options.Scheduling) {}
 
 GenerationTable::Generation *GenerationTable::find(const std::string &id) {
-  const auto it = All.find(id);
-  return it == All.end() ? nullptr : &it->second;
+  const auto it = Generations.find(id);
+  return it == Generations.end() ? nullptr : &it->second;
 }
 
 void GenerationTable::reply(ReplyId id, wire::Reply message) {
@@ -45,37 +45,37 @@
   reply(id, wire::refusedReply(refusal));
 }
 
-void GenerationTable::note(const std::string &sentence) const {
-  if (Options.Note)
-    Options.Note("agent.engine", sentence);
+void GenerationTable::logDecision(const std::string &sentence) const {
+  if (Options.LogDecision)
+    Options.LogDecision("agent.engine", sentence);
 }
 
-void GenerationTable::step(Generation &g, GenerationStep s,
-                           const std::string &id) {
-  invariant(Invariant::LegalTransition, g.Life.apply(s), id);
+void GenerationTable::transition(Generation &g, GenerationEvent event,
+                                 const std::string &id) {
+  invariant(Invariant::LegalTransition, g.Lifecycle.apply(event), id);
 }
 
 void GenerationTable::start(base::Now now, ReplyId replyId,
                             const wire::Start &start, const JobSpec &spec) {
-  Generation &g = All[start.request_id()];
+  Generation &g = Generations[start.request_id()];
   g = Generation();
-  g.Job = NextJob++;
+  g.Job = NextJobId++;
   g.Start = start;
   g.Priority = spec.Priority;
-  g.LastFollowed = now.Steady;
-  IdOfJob[g.Job] = start.request_id();
-  ++Open;
-  Schedule.add(now.Steady, g.Job, spec);
+  g.LastAccessedAt = now.Steady;
+  RequestIdByJob[g.Job] = start.request_id();
+  ++OpenCount;
+  JobScheduler.add(now.Steady, g.Job, spec);
   wire::Reply message;
   message.mutable_accepted();
   reply(replyId, std::move(message));
   schedule(now);
 }
 
-void GenerationTable::answerAgain(ReplyId replyId, const std::string &id) {
+void GenerationTable::replyToDuplicate(ReplyId replyId, const std::string &id) {
   Generation &g = *find(id);
   const bool neverRan =
-      g.Life.state() == GenerationState::Failed && !g.WasSubmitted;
+      g.Lifecycle.state() == GenerationState::Failed && !g.WasSubmitted;
   if (g.IsTombstone || neverRan) {
     refuse(replyId,
            {Verdict::NotRun, g.IsTombstone ? Reason::Revoked : g.Failure.Why,
@@ -87,26 +87,26 @@
   reply(replyId, std::move(message));
 }
 
-void GenerationTable::leaveTombstone(base::Now now, const std::string &id) {
-  if (!Options.On.LeaveTombstones || All.contains(id))
+void GenerationTable::recordTombstone(base::Now now, const std::string &id) {
+  if (!Options.Enabled.RecordTombstones || Generations.contains(id))
     return;
-  Generation &tombstone = All[id];
+  Generation &tombstone = Generations[id];
   tombstone.IsTombstone = true;
   tombstone.EndedAt = now.Steady;
-  step(tombstone, GenerationStep::Fail, id);
+  transition(tombstone, GenerationEvent::Fail, id);
 }
 
 void GenerationTable::revoke(base::Now now, ReplyId replyId,
                              const std::string &id) {
   Generation *g = find(id);
   if (!g) {
-    leaveTombstone(now, id);
+    recordTombstone(now, id);
     refuse(replyId, {Verdict::NotRun, Reason::Revoked, {}});
     return;
   }
-  if (g->Life.state() == GenerationState::Waiting)
+  if (g->Lifecycle.state() == GenerationState::Waiting)
     fail(now, id, *g, {Verdict::NotRun, Reason::Revoked, {}}, false);
-  answerAgain(replyId, id);
+  replyToDuplicate(replyId, id);
 }
 
 void GenerationTable::attach(base::Now now, ReplyId replyId,
@@ -118,7 +118,7 @@
     refuse(replyId, {Verdict::NotRun, Reason::NotFound, {}});
     return;
   }
-  g->LastFollowed = now.Steady;
+  g->LastAccessedAt = now.Steady;
   wire::Reply accepted;
   accepted.mutable_accepted()->set_already_known(true);
   reply(replyId, std::move(accepted));
@@ -132,7 +132,7 @@
     refuse(replyId, {Verdict::NotRun, Reason::NotFound, {}});
     return;
   }
-  if (!g->Life.isOver()) {
+  if (!g->Lifecycle.isOver()) {
     const Verdict verdict = g->WasSubmitted ? Verdict::Ran : Verdict::NotRun;
     fail(now, message.request_id(), *g, {verdict, Reason::Cancelled, {}}, true);
   }
@@ -143,119 +143,122 @@
 
 void GenerationTable::fail(base::Now now, const std::string &id, Generation &g,
                            Refusal why, bool stopOnEngine) {
-  if (g.Life.isOver())
+  if (g.Lifecycle.isOver())
     return;
-  const GenerationState before = g.Life.state();
+  const GenerationState before = g.Lifecycle.state();
   invariant(Invariant::NotRunIsProven,
             why.Outcome != Verdict::NotRun || g.Tokens.empty(), id);
   const bool isOnEngine = before == GenerationState::Submitted ||
                           before == GenerationState::Streaming ||
                           before == GenerationState::Yielding;
-  step(g, GenerationStep::Fail, id);
+  transition(g, GenerationEvent::Fail, id);
   g.Failure = why;
   g.EndedAt = now.Steady;
-  --Open;
-  HasNews = true;
-  Schedule.remove(now.Steady, g.Job, false);
-  IdOfJob.erase(g.Job);
+  --OpenCount;
+  HasUpdates = true;
+  JobScheduler.remove(now.Steady, g.Job, false);
+  RequestIdByJob.erase(g.Job);
   // A yielded one is remembered by the engine, which must forget it too.
-  const bool isKept = before == GenerationState::Yielded;
-  if (stopOnEngine && (isOnEngine || isKept))
+  const bool isYielded = before == GenerationState::Yielded;
+  if (stopOnEngine && (isOnEngine || isYielded))
     Out.push_back(StopOnEngine{id, false});
-  note(fmt::format("end request={} verdict={} reason={} tokens={}", id,
-                   toString(why.Outcome), toString(why.Why), g.Tokens.size()));
+  logDecision(fmt::format("end request={} verdict={} reason={} tokens={}", id,
+                          toString(why.Outcome), toString(why.Why),
+                          g.Tokens.size()));
 }
 
 void GenerationTable::finish(base::Now now, Generation &g) {
   g.EndedAt = now.Steady;
-  --Open;
-  HasNews = true;
-  Schedule.remove(now.Steady, g.Job, true);
-  IdOfJob.erase(g.Job);
+  --OpenCount;
+  HasUpdates = true;
+  JobScheduler.remove(now.Steady, g.Job, true);
+  RequestIdByJob.erase(g.Job);
 }
 
-void GenerationTable::tokens(base::Now now, TokensArrived &e) {
+void GenerationTable::onTokens(base::Now now, TokensArrived &e) {
   Generation *g = find(e.RequestId);
-  if (!g || g->Life.isOver())
+  if (!g || g->Lifecycle.isOver())
     return;
-  const auto have = static_cast<std::uint32_t>(g->Tokens.size());
-  if (e.FirstIndex > have) {
+  const auto receivedCount = static_cast<std::uint32_t>(g->Tokens.size());
+  if (e.FirstIndex > receivedCount) {
     // A hole can never be filled: better no answer than a wrong one.
     fail(now, e.RequestId, *g, {Verdict::Ran, Reason::StreamGap, {}}, true);
     return;
   }
-  const std::uint32_t known = have - e.FirstIndex;
-  if (known >= e.Tokens.size())
+  const std::uint32_t alreadyReceived = receivedCount - e.FirstIndex;
+  if (alreadyReceived >= e.Tokens.size())
     return;
-  step(*g, GenerationStep::Token, e.RequestId);
-  std::move(e.Tokens.begin() + known, e.Tokens.end(),
+  transition(*g, GenerationEvent::Token, e.RequestId);
+  std::move(e.Tokens.begin() + alreadyReceived, e.Tokens.end(),
             std::back_inserter(g->Tokens));
-  HasNews = true;
+  HasUpdates = true;
   // A first token is not kept waiting for the next tick.
-  if (have == 0)
-    answerPolls(now);
-  Schedule.produced(now.Steady, g->Job,
-                    static_cast<std::uint32_t>(e.Tokens.size()) - known);
+  if (receivedCount == 0)
+    completePolls(now);
+  JobScheduler.recordTokens(now.Steady, g->Job,
+                            static_cast<std::uint32_t>(e.Tokens.size()) -
+                                alreadyReceived);
 }
 
-void GenerationTable::ended(base::Now now, const EngineStreamEnded &e) {
+void GenerationTable::onStreamEnded(base::Now now, const EngineStreamEnded &e) {
   Generation *g = find(e.RequestId);
-  if (!g || g->Life.isOver())
+  if (!g || g->Lifecycle.isOver())
     return;
-  const bool isFresh = g->Tokens.empty();
-  switch (e.How) {
-  case EngineEnd::Finished:
-    step(*g, GenerationStep::Finish, e.RequestId);
+  const bool hasNoTokens = g->Tokens.empty();
+  switch (e.Outcome) {
+  case EngineOutcome::Finished:
+    transition(*g, GenerationEvent::Finish, e.RequestId);
     finish(now, *g);
     return;
-  case EngineEnd::LetGo:
-    if (g->Life.state() != GenerationState::Yielding && Options.Count)
-      Options.Count("drumlanding_preemptions_total", 1);
-    step(*g, GenerationStep::LetGo, e.RequestId);
-    Schedule.yielded(now.Steady, g->Job);
+  case EngineOutcome::Released:
+    if (g->Lifecycle.state() != GenerationState::Yielding &&
+        Options.IncrementMetric)
+      Options.IncrementMetric("drumlanding_preemptions_total", 1);
+    transition(*g, GenerationEvent::Release, e.RequestId);
+    JobScheduler.recordYielded(now.Steady, g->Job);
     return;
-  case EngineEnd::Unreached:
-  case EngineEnd::Refused: {
+  case EngineOutcome::Unreachable:
+  case EngineOutcome::Refused: {
     // Only the first try proves that nothing ran.
-    g->WasSubmitted = !isFresh || Schedule.yieldsOf(g->Job) > 0;
+    g->WasSubmitted = !hasNoTokens || JobScheduler.yieldCount(g->Job) > 0;
     const Verdict verdict = g->WasSubmitted ? Verdict::Ran : Verdict::NotRun;
     // An engine that refused to resume it still remembers it.
-    fail(now, e.RequestId, *g, {verdict, Reason::EngineLost, RetryAfterLoss},
+    fail(now, e.RequestId, *g, {verdict, Reason::EngineLost, LossRetryDelay},
          g->WasSubmitted);
     return;
   }
-  case EngineEnd::Lost:
-  case EngineEnd::Unresumable:
+  case EngineOutcome::ConnectionLost:
+  case EngineOutcome::Unresumable:
     fail(now, e.RequestId, *g,
-         {isFresh ? Verdict::MayHaveRun : Verdict::Ran, Reason::EngineLost,
-          RetryAfterLoss},
+         {hasNoTokens ? Verdict::MayHaveRun : Verdict::Ran, Reason::EngineLost,
+          LossRetryDelay},
          true);
     return;
   }
 }
 
-void GenerationTable::stepTook(const StepObserved &e) {
-  Schedule.stepTook(e.Took, e.PrefillTokens);
+void GenerationTable::recordStep(const StepObserved &e) {
+  JobScheduler.recordStep(e.Elapsed, e.PrefillTokens);
 }
 
 void GenerationTable::setCapacity(std::uint64_t tokens) {
-  Schedule.setCapacity(tokens);
+  JobScheduler.setCapacity(tokens);
 }
 
-void GenerationTable::serverLost(base::Now now) {
-  for (auto &[id, g] : All) {
-    if (g.Life.isOver())
+void GenerationTable::onServerLost(base::Now now) {
+  for (auto &[id, g] : Generations) {
+    if (g.Lifecycle.isOver())
       continue;
     const Verdict verdict = !g.WasSubmitted    ? Verdict::NotRun
                             : g.Tokens.empty() ? Verdict::MayHaveRun
                                                : Verdict::Ran;
-    fail(now, id, g, {verdict, Reason::EngineLost, RetryAfterLoss}, false);
+    fail(now, id, g, {verdict, Reason::EngineLost, LossRetryDelay}, false);
   }
 }
 
-void GenerationTable::reclaim(base::Now now, bool all) {
-  for (auto &[id, g] : All) {
-    if (g.Life.isOver() || (g.WasSubmitted && !all))
+void GenerationTable::failForReclaim(base::Now now, bool includeSubmitted) {
+  for (auto &[id, g] : Generations) {
+    if (g.Lifecycle.isOver() || (g.WasSubmitted && !includeSubmitted))
       continue;
     const Verdict verdict = g.WasSubmitted ? Verdict::Ran : Verdict::NotRun;
     fail(now, id, g, {verdict, Reason::Reclaimed, {}}, true);
@@ -266,16 +269,16 @@
                            const wire::Request &message) {
   for (const wire::Cursor &cursor : message.poll().cursors())
     if (Generation *g = find(cursor.request_id()))
-      g->LastFollowed = now.Steady;
+      g->LastAccessedAt = now.Steady;
   // A new poll of the same entry takes the place of the one before.
-  const auto it = Parked.find(message.sender());
-  if (it != Parked.end()) {
+  const auto it = PendingPolls.find(message.sender());
+  if (it != PendingPolls.end()) {
     wire::Reply empty;
     empty.mutable_poll();
     reply(it->second.Reply, std::move(empty));
-    Parked.erase(it);
+    PendingPolls.erase(it);
   }
-  wire::PollReply parts = partsFor(now, message.poll());
+  wire::PollReply parts = collectParts(now, message.poll());
   if (parts.parts_size() > 0 || message.poll().wait_ms() == 0) {
     wire::Reply answer;
     *answer.mutable_poll() = std::move(parts);
@@ -283,17 +286,18 @@
     return;
   }
   const base::milliseconds wait(message.poll().wait_ms());
-  Parked[message.sender()] = {
+  PendingPolls[message.sender()] = {
       replyId, message.poll(),
-      now.Steady + std::min<base::milliseconds>(wait, LongestPoll)};
+      now.Steady + std::min<base::milliseconds>(wait, MaxPollWait)};
 }
 
-wire::PollReply GenerationTable::partsFor(base::Now, const wire::Poll &poll) {
+wire::PollReply GenerationTable::collectParts(base::Now,
+                                              const wire::Poll &poll) {
   wire::PollReply out;
   for (const wire::Cursor &cursor : poll.cursors()) {
     Generation *g = find(cursor.request_id());
     if (g && !g->IsTombstone) {
-      addPart(cursor, *g, out);
+      appendPart(cursor, *g, out);
       continue;
     }
     wire::StreamPart &part = *out.add_parts();
@@ -304,95 +308,95 @@
   return out;
 }
 
-void GenerationTable::addPart(const wire::Cursor &cursor, Generation &g,
-                              wire::PollReply &out) const {
+void GenerationTable::appendPart(const wire::Cursor &cursor, Generation &g,
+                                 wire::PollReply &out) const {
   const std::size_t next = cursor.next_index();
   const bool hasTokens = next < g.Tokens.size();
-  if (!hasTokens && !g.Life.isOver())
+  if (!hasTokens && !g.Lifecycle.isOver())
     return;
   wire::StreamPart &part = *out.add_parts();
   part.set_request_id(cursor.request_id());
   part.set_first_index(cursor.next_index());
-  const std::size_t end = std::min(g.Tokens.size(), next + TokensPerPart);
+  const std::size_t end = std::min(g.Tokens.size(), next + MaxTokensPerPart);
   for (std::size_t i = next; i < end; ++i)
     part.add_tokens(g.Tokens[i]);
-  if (end < g.Tokens.size() || !g.Life.isOver())
+  if (end < g.Tokens.size() || !g.Lifecycle.isOver())
     return;
-  if (g.Life.state() == GenerationState::Finished) {
+  if (g.Lifecycle.state() == GenerationState::Finished) {
     part.set_finished(true);
     return;
   }
   *part.mutable_failure() = wire::toWire(g.Failure);
 }
 
-void GenerationTable::answerPolls(base::Now now) {
-  for (auto it = Parked.begin(); it != Parked.end();) {
-    ParkedPoll &parked = it->second;
+void GenerationTable::completePolls(base::Now now) {
+  for (auto it = PendingPolls.begin(); it != PendingPolls.end();) {
+    PendingPoll &pending = it->second;
     wire::PollReply parts;
-    if (HasNews)
-      parts = partsFor(now, parked.Poll);
-    if (parts.parts_size() == 0 && now.Steady < parked.Until) {
+    if (HasUpdates)
+      parts = collectParts(now, pending.Poll);
+    if (parts.parts_size() == 0 && now.Steady < pending.Deadline) {
       ++it;
       continue;
     }
     wire::Reply answer;
     *answer.mutable_poll() = std::move(parts);
-    reply(parked.Reply, std::move(answer));
-    it = Parked.erase(it);
+    reply(pending.Reply, std::move(answer));
+    it = PendingPolls.erase(it);
   }
-  HasNews = false;
+  HasUpdates = false;
 }
 
-void GenerationTable::dropOld(base::Now now) {
-  std::erase_if(All, [&](const auto &entry) {
+void GenerationTable::evictExpired(base::Now now) {
+  std::erase_if(Generations, [&](const auto &entry) {
     const Generation &g = entry.second;
-    return g.Life.isOver() && now.Steady - g.EndedAt > Retention;
+    return g.Lifecycle.isOver() && now.Steady - g.EndedAt > EndedRetention;
   });
 }
 
 void GenerationTable::cancelOrphans(base::Now now) {
-  if (!Options.On.CancelOrphans)
+  if (!Options.Enabled.CancelOrphans)
     return;
-  for (auto &[id, g] : All) {
-    if (g.Life.isOver() || now.Steady - g.LastFollowed < OrphanAfter)
+  for (auto &[id, g] : Generations) {
+    if (g.Lifecycle.isOver() || now.Steady - g.LastAccessedAt < OrphanTimeout)
       continue;
     const Verdict verdict = g.WasSubmitted ? Verdict::Ran : Verdict::NotRun;
-    note("orphan request=" + id);
+    logDecision("orphan request=" + id);
     fail(now, id, g, {verdict, Reason::Cancelled, {}}, true);
   }
 }
 
 void GenerationTable::schedule(base::Now now) {
-  Decisions decisions = Schedule.decide(now.Steady);
+  Decisions decisions = JobScheduler.decide(now.Steady);
   for (JobId job : decisions.Yield) {
-    const std::string &id = IdOfJob.at(job);
-    step(*find(id), GenerationStep::Yield, id);
+    const std::string &id = RequestIdByJob.at(job);
+    transition(*find(id), GenerationEvent::Yield, id);
     Out.push_back(StopOnEngine{id, true});
-    note("yield request=" + id);
-    if (Options.Count)
-      Options.Count("drumlanding_yields_total", 1);
+    logDecision("yield request=" + id);
+    if (Options.IncrementMetric)
+      Options.IncrementMetric("drumlanding_yields_total", 1);
   }
   for (JobId job : decisions.Start) {
-    const std::string &id = IdOfJob.at(job);
+    const std::string &id = RequestIdByJob.at(job);
     Generation &g = *find(id);
-    step(g, GenerationStep::Submit, id);
+    transition(g, GenerationEvent::Submit, id);
     g.WasSubmitted = true;
     const auto from = static_cast<std::uint32_t>(g.Tokens.size());
     Out.push_back(StartOnEngine{id, g.Start, g.Priority, from});
-    note(fmt::format("admit request={} organisation={} resume_from={}", id,
-                     g.Start.organisation(), from));
+    logDecision(fmt::format("admit request={} organisation={} resume_from={}",
+                            id, g.Start.organisation(), from));
   }
 }
 
 void GenerationTable::tick(base::Now now, bool canRun) {
-  if (now.Steady - LastSweep >= SweepEvery) {
+  if (now.Steady - LastSweep >= SweepInterval) {
     LastSweep = now.Steady;
-    dropOld(now);
+    evictExpired(now);
     cancelOrphans(now);
   }
   if (canRun)
     schedule(now);
-  answerPolls(now);
+  completePolls(now);
 }
 
 } // namespace drumlanding::agent
--- a/src/agent/lengths.cc
+++ b/src/agent/lengths.cc
@@ -12,17 +12,17 @@
 /// Weight of the wider class in the hazard of a bucket, in observations.
 constexpr double ParentWeight = 25;
 /// Observations of a bucket fade with this many newer ones.
-constexpr double Memory = 300;
+constexpr double DecayObservations = 300;
 /// A curve is made anew after this many observations.
 constexpr int ChangesPerRebuild = 24;
 /// The prior: outputs are log-normal around this many tokens, and wide. It is
 /// longer than most, so that a cold start admits carefully.
 constexpr double PriorMedian = 250;
 constexpr double PriorSigma = 1.3;
-constexpr double LeastHazard = 1e-4;
-constexpr double MostHazard = 0.98;
+constexpr double MinHazard = 1e-4;
+constexpr double MaxHazard = 0.98;
 
-double startOf(int bucket) {
+double bucketStart(int bucket) {
   return std::exp2(static_cast<double>(bucket) / LengthModel::BucketsPerOctave);
 }
 
@@ -39,12 +39,12 @@
 
 LengthModel::LengthModel() {
   for (int b = 0; b < Buckets; ++b) {
-    const double before = std::max(priorSurvival(startOf(b)), 1e-9);
-    const double after = priorSurvival(startOf(b + 1));
-    PriorHazard[b] = std::clamp(1 - after / before, LeastHazard, MostHazard);
+    const double before = std::max(priorSurvival(bucketStart(b)), 1e-9);
+    const double after = priorSurvival(bucketStart(b + 1));
+    PriorHazard[b] = std::clamp(1 - after / before, MinHazard, MaxHazard);
   }
-  rebuild(All, PriorHazard);
-  AllHazard = hazards(All, PriorHazard);
+  rebuild(AllClasses, PriorHazard);
+  AllClassesHazard = hazards(AllClasses, PriorHazard);
 }
 
 int LengthModel::bucketOf(std::uint32_t length) {
@@ -54,55 +54,55 @@
   return std::min(static_cast<int>(octaves * BucketsPerOctave), Buckets - 1);
 }
 
-void LengthModel::expose(Curve &curve, int bucket, bool ended) {
-  const double keep = 1 - 1 / Memory;
+void LengthModel::addObservation(Curve &curve, int bucket, bool ended) {
+  const double keep = 1 - 1 / DecayObservations;
   curve.Exposure[bucket] = curve.Exposure[bucket] * keep + 1;
   curve.Ends[bucket] = curve.Ends[bucket] * keep + (ended ? 1 : 0);
-  ++curve.Changes;
+  ++curve.ChangesSinceRebuild;
 }
 
-void LengthModel::learn(LengthClass cls, int bucket, bool ended) {
-  expose(All, bucket, ended);
-  if (All.Changes >= ChangesPerRebuild) {
-    rebuild(All, PriorHazard);
-    AllHazard = hazards(All, PriorHazard);
+void LengthModel::observe(LengthClass cls, int bucket, bool ended) {
+  addObservation(AllClasses, bucket, ended);
+  if (AllClasses.ChangesSinceRebuild >= ChangesPerRebuild) {
+    rebuild(AllClasses, PriorHazard);
+    AllClassesHazard = hazards(AllClasses, PriorHazard);
   }
   const auto [it, isNew] = Classes.try_emplace(cls);
   Curve &curve = it->second;
-  expose(curve, bucket, ended);
-  if (isNew || curve.Changes >= ChangesPerRebuild)
-    rebuild(curve, AllHazard);
+  addObservation(curve, bucket, ended);
+  if (isNew || curve.ChangesSinceRebuild >= ChangesPerRebuild)
+    rebuild(curve, AllClassesHazard);
 }
 
-void LengthModel::passed(LengthClass cls, std::uint32_t from,
-                         std::uint32_t to) {
+void LengthModel::recordProgress(LengthClass cls, std::uint32_t from,
+                                 std::uint32_t to) {
   for (int b = bucketOf(from); b < bucketOf(to); ++b)
-    learn(cls, b, false);
+    observe(cls, b, false);
 }
 
-void LengthModel::ended(LengthClass cls, std::uint32_t length) {
-  learn(cls, bucketOf(length), true);
+void LengthModel::recordEnd(LengthClass cls, std::uint32_t length) {
+  observe(cls, bucketOf(length), true);
 }
 
-LengthModel::Row LengthModel::hazards(const Curve &curve,
-                                      const Row &parent) const {
-  Row row{};
+LengthModel::BucketValues
+LengthModel::hazards(const Curve &curve, const BucketValues &parent) const {
+  BucketValues row{};
   for (int b = 0; b < Buckets; ++b) {
     const double ends = curve.Ends[b] + ParentWeight * parent[b];
     const double exposure = curve.Exposure[b] + ParentWeight;
-    row[b] = std::clamp(ends / exposure, LeastHazard, MostHazard);
+    row[b] = std::clamp(ends / exposure, MinHazard, MaxHazard);
   }
   return row;
 }
 
-void LengthModel::rebuild(Curve &curve, const Row &parentHazard) {
-  const Row hazard = hazards(curve, parentHazard);
+void LengthModel::rebuild(Curve &curve, const BucketValues &parentHazard) {
+  const BucketValues hazard = hazards(curve, parentHazard);
   double sum = 0;
   for (int b = 0; b < Buckets; ++b) {
     sum += std::log1p(-hazard[b]);
     curve.LogSurvival[b] = sum;
   }
-  curve.Changes = 0;
+  curve.ChangesSinceRebuild = 0;
 }
 
 double LengthModel::logSurvivalAt(const Curve &curve, double length) const {
@@ -117,14 +117,14 @@
 
 const LengthModel::Curve &LengthModel::curveOf(LengthClass cls) const {
   const auto it = Classes.find(cls);
-  return it == Classes.end() ? All : it->second;
+  return it == Classes.end() ? AllClasses : it->second;
 }
 
 double LengthModel::survival(LengthClass cls, std::uint32_t produced,
-                             std::uint32_t more) const {
+                             std::uint32_t additional) const {
   const Curve &curve = curveOf(cls);
   const double now = logSurvivalAt(curve, produced);
-  const double then = logSurvivalAt(curve, produced + more);
+  const double then = logSurvivalAt(curve, produced + additional);
   return std::exp(then - now);
 }
 
@@ -135,7 +135,7 @@
   double sum = 0;
   double from = produced;
   for (int b = bucketOf(produced); b < Buckets && from < limit; ++b) {
-    const double to = std::min<double>(startOf(b + 1), limit);
+    const double to = std::min<double>(bucketStart(b + 1), limit);
     if (to <= from)
       continue;
     const double alive = std::exp(logSurvivalAt(curve, (from + to) / 2) - now);
--- a/src/agent/lifecycle.cc
+++ b/src/agent/lifecycle.cc
@@ -16,7 +16,7 @@
 /// What both machines share: an event that the table does not have is no
 /// error of the library's, `apply` tells the caller.
 template <typename Derived>
-struct QuietMachine : front::state_machine_def<Derived> {
+struct NonAssertingMachine : front::state_machine_def<Derived> {
   template <typename Machine, typename Event>
   void no_transition(const Event &, Machine &, int) {} // NOLINT
 };
@@ -34,21 +34,21 @@
 struct Submit {};
 struct Token {};
 struct Yield {};
-struct LetGo {};
+struct Release {};
 struct Finish {};
 struct Fail {};
 
-struct Definition : QuietMachine<Definition> {
+struct Definition : NonAssertingMachine<Definition> {
   using initial_state = Waiting; // NOLINT
   // The order in which states first appear gives their numbers, which match
   // GenerationState.
   struct transition_table // NOLINT
       : mpl::vector<
             Row<Waiting, Submit, Submitted>, Row<Submitted, Token, Streaming>,
-            Row<Streaming, Yield, Yielding>, Row<Yielding, LetGo, Yielded>,
+            Row<Streaming, Yield, Yielding>, Row<Yielding, Release, Yielded>,
             Row<Yielded, Submit, Submitted>,
             // The engine preempted it before or after a token.
-            Row<Submitted, LetGo, Yielded>, Row<Streaming, LetGo, Yielded>,
+            Row<Submitted, Release, Yielded>, Row<Streaming, Release, Yielded>,
             Row<Streaming, Token, Streaming>,
             // Tokens and the end can be on their way already.
             Row<Yielding, Token, Yielding>, Row<Submitted, Finish, Finished>,
@@ -71,18 +71,18 @@
 
 struct Ready {};
 struct Leave {};
-struct Stay {};
+struct CancelLeave {};
 struct Drain {};
 
-struct Definition : QuietMachine<Definition> {
+struct Definition : NonAssertingMachine<Definition> {
   using initial_state = Starting; // NOLINT
   struct transition_table         // NOLINT
       : mpl::vector<Row<Starting, Ready, Serving>,
                     Row<Starting, Leave, Leaving>, Row<Serving, Leave, Leaving>,
                     Row<Leaving, Drain, Drained>,
                     // A later bundle no longer drains it.
-                    Row<Leaving, Stay, Serving>, Row<Drained, Stay, Serving>> {
-  };
+                    Row<Leaving, CancelLeave, Serving>,
+                    Row<Drained, CancelLeave, Serving>> {};
 };
 
 using Backend = boost::msm::back::state_machine<Definition>;
@@ -101,8 +101,8 @@
   GenerationState State = GenerationState::Waiting;
 };
 
-GenerationLifecycle::GenerationLifecycle() : M(std::make_unique<Machine>()) {
-  M->Backend.start();
+GenerationLifecycle::GenerationLifecycle() : Impl(std::make_unique<Machine>()) {
+  Impl->Backend.start();
 }
 GenerationLifecycle::~GenerationLifecycle() = default;
 GenerationLifecycle::GenerationLifecycle(GenerationLifecycle &&) noexcept =
@@ -110,66 +110,66 @@
 GenerationLifecycle &
 GenerationLifecycle::operator=(GenerationLifecycle &&) noexcept = default;
 
-bool GenerationLifecycle::apply(GenerationStep step) {
+bool GenerationLifecycle::apply(GenerationEvent event) {
   using namespace generation;
   bool handled = false;
-  switch (step) {
-  case GenerationStep::Submit:
-    handled = process(M->Backend, Submit());
+  switch (event) {
+  case GenerationEvent::Submit:
+    handled = process(Impl->Backend, Submit());
     break;
-  case GenerationStep::Token:
-    handled = process(M->Backend, Token());
+  case GenerationEvent::Token:
+    handled = process(Impl->Backend, Token());
     break;
-  case GenerationStep::Yield:
-    handled = process(M->Backend, Yield());
+  case GenerationEvent::Yield:
+    handled = process(Impl->Backend, Yield());
     break;
-  case GenerationStep::LetGo:
-    handled = process(M->Backend, LetGo());
+  case GenerationEvent::Release:
+    handled = process(Impl->Backend, Release());
     break;
-  case GenerationStep::Finish:
-    handled = process(M->Backend, Finish());
+  case GenerationEvent::Finish:
+    handled = process(Impl->Backend, Finish());
     break;
-  case GenerationStep::Fail:
-    handled = process(M->Backend, Fail());
+  case GenerationEvent::Fail:
+    handled = process(Impl->Backend, Fail());
     break;
   }
-  M->State = static_cast<GenerationState>(M->Backend.current_state()[0]);
+  Impl->State = static_cast<GenerationState>(Impl->Backend.current_state()[0]);
   return handled;
 }
 
-GenerationState GenerationLifecycle::state() const { return M->State; }
+GenerationState GenerationLifecycle::state() const { return Impl->State; }
 
 bool GenerationLifecycle::isOver() const {
-  return M->State == GenerationState::Finished ||
-         M->State == GenerationState::Failed;
+  return Impl->State == GenerationState::Finished ||
+         Impl->State == GenerationState::Failed;
 }
 
 struct ServerLifecycle::Machine {
   server::Backend Backend;
 };
 
-ServerLifecycle::ServerLifecycle() : M(std::make_unique<Machine>()) {
-  M->Backend.start();
+ServerLifecycle::ServerLifecycle() : Impl(std::make_unique<Machine>()) {
+  Impl->Backend.start();
 }
 ServerLifecycle::~ServerLifecycle() = default;
 
-bool ServerLifecycle::apply(ServerStep step) {
+bool ServerLifecycle::apply(ServerEvent event) {
   using namespace server;
-  switch (step) {
-  case ServerStep::Ready:
-    return process(M->Backend, Ready());
-  case ServerStep::Leave:
-    return process(M->Backend, Leave());
-  case ServerStep::Stay:
-    return process(M->Backend, Stay());
-  case ServerStep::Drain:
-    return process(M->Backend, Drain());
+  switch (event) {
+  case ServerEvent::Ready:
+    return process(Impl->Backend, Ready());
+  case ServerEvent::Leave:
+    return process(Impl->Backend, Leave());
+  case ServerEvent::CancelLeave:
+    return process(Impl->Backend, CancelLeave());
+  case ServerEvent::Drain:
+    return process(Impl->Backend, Drain());
   }
   return false;
 }
 
 ServerState ServerLifecycle::state() const {
-  return static_cast<ServerState>(M->Backend.current_state()[0]);
+  return static_cast<ServerState>(Impl->Backend.current_state()[0]);
 }
 
 std::string_view toString(GenerationState s) {
--- a/src/agent/scheduler.cc
+++ b/src/agent/scheduler.cc
@@ -11,31 +11,31 @@
 /// A forecast is made anew after this many tokens.
 constexpr std::uint32_t TokensPerForecast = 16;
 /// Room kept for the tokens that are on their way while a yield takes effect.
-constexpr std::uint32_t StepsToYield = 3;
+constexpr std::uint32_t YieldLatencySteps = 3;
 /// A generation comes back when it leaves this part of the memory free.
-constexpr double ResumeRoomPart = 0.02;
+constexpr double ResumeHeadroomFraction = 0.02;
 /// A prompt token costs this part of a generated one, in an organisation's use.
-constexpr double PromptCost = 0.2;
+constexpr double PromptTokenCost = 0.2;
 /// A step of priority weighs as much as this factor of the share. Priorities
 /// are weights and not classes: the last one gets less, but never nothing.
 constexpr double PriorityFactor = 1.5;
-constexpr int MiddlePriority = 5;
+constexpr int NeutralPriority = 5;
 /// An organisation is above its share with this many times its even part.
-constexpr double OverdrawnFactor = 1.5;
+constexpr double FairShareTolerance = 1.5;
 /// New observations weigh this much in the learnt costs.
-constexpr double Learning = 0.05;
-constexpr base::milliseconds LeastStepTarget{40};
+constexpr double LearningRate = 0.05;
+constexpr base::milliseconds MinStepTarget{40};
 /// A yield should free this part of the memory.
-constexpr double ReliefPart = 0.025;
+constexpr double MinFreedFraction = 0.025;
 /// The risk that yields have added fades by e in this time.
-constexpr double RiskFadeSeconds = 120;
-constexpr double MostRiskBoost = 3;
+constexpr double RiskDecaySeconds = 120;
+constexpr double MaxRiskBoost = 3;
 
 double weightOf(const JobSpec &spec) {
-  return spec.Share * std::pow(PriorityFactor, spec.Priority - MiddlePriority);
+  return spec.Share * std::pow(PriorityFactor, spec.Priority - NeutralPriority);
 }
 
-double msOf(base::Duration d) {
+double toMillis(base::Duration d) {
   return std::chrono::duration<double, std::milli>(d).count();
 }
 
@@ -48,21 +48,22 @@
          job.State == JobState::Yielding;
 }
 
-double Scheduler::survival(const Job &job, std::uint32_t more) const {
-  if (job.Produced + more >= job.Spec.MaxTokens)
+double Scheduler::survival(const Job &job, std::uint32_t additional) const {
+  if (job.Produced + additional >= job.Spec.MaxTokens)
     return 0;
   if (Options.Survival)
-    return Options.Survival({job.Id, job.Spec, job.Produced}, more);
-  return Lengths.survival(job.Spec.Class, job.Produced, more);
+    return Options.Survival({job.Id, job.Spec, job.Produced}, additional);
+  return Lengths.survival(job.Spec.Class, job.Produced, additional);
 }
 
 void Scheduler::forecast(Job &job) {
-  job.ForecastAt = job.Produced;
+  job.ForecastProduced = job.Produced;
   for (std::size_t i = 0; i < Horizons.size(); ++i) {
-    const double alive = survival(job, Horizons[i]);
+    const double survivalProbability = survival(job, Horizons[i]);
     const double size = static_cast<double>(job.tokens() + Horizons[i]);
-    job.Mean[i] = alive * size;
-    job.Variance[i] = alive * (1 - alive) * size * size;
+    job.Mean[i] = survivalProbability * size;
+    job.Variance[i] =
+        survivalProbability * (1 - survivalProbability) * size * size;
   }
 }
 
@@ -73,18 +74,18 @@
   }
 }
 
-double Scheduler::leastAttained() const {
-  std::optional<double> least;
+double Scheduler::minAttained() const {
+  std::optional<double> lowest;
   for (const auto &[name, tenant] : Tenants)
-    if (tenant.Active > 0 && (!least || tenant.Attained < *least))
-      least = tenant.Attained;
-  return least.value_or(0);
+    if (tenant.Active > 0 && (!lowest || tenant.Attained < *lowest))
+      lowest = tenant.Attained;
+  return lowest.value_or(0);
 }
 
 void Scheduler::activate(Tenant &tenant) {
   // An organisation that was away gets no credit for the time.
   if (tenant.Active == 0)
-    tenant.Attained = std::max(tenant.Attained, leastAttained());
+    tenant.Attained = std::max(tenant.Attained, minAttained());
   ++tenant.Active;
 }
 
@@ -97,7 +98,7 @@
   Job &job = Jobs[id];
   job.Id = id;
   job.Spec = spec;
-  job.Since = now;
+  job.StateSince = now;
 }
 
 base::milliseconds Scheduler::predictedWait(const JobSpec &spec) const {
@@ -110,14 +111,15 @@
     if (!tenant.Queue.empty() && name != spec.Organisation)
       queues += tenant.Share / weightOf(spec);
   const double wait =
-      std::min(static_cast<double>(WaitingJobs), ahead * queues) * AdmissionMs;
+      std::min(static_cast<double>(WaitingJobs), ahead * queues) *
+      AdmissionIntervalMs;
   return base::milliseconds(static_cast<std::int64_t>(wait));
 }
 
-void Scheduler::putOnEngine(base::Instant now, Job &job) {
+void Scheduler::placeOnEngine(base::Instant now, Job &job) {
   job.PrefillTokens = static_cast<std::uint32_t>(job.tokens());
   job.State = JobState::Prefilling;
-  job.Since = now;
+  job.StateSince = now;
   PrefillInFlight += job.PrefillTokens;
   UsedTokens += job.tokens();
   ++OnEngine;
@@ -125,7 +127,7 @@
   GapWeightSum += job.Spec.GapWeight;
   Tenant &tenant = Tenants[job.Spec.Organisation];
   tenant.UsedTokens += job.tokens();
-  tenant.Attained += PromptCost * job.Spec.PromptTokens / tenant.Share;
+  tenant.Attained += PromptTokenCost * job.Spec.PromptTokens / tenant.Share;
   // A single one may be larger than the memory: nothing else could run it.
   base::invariant(base::Invariant::MemoryWithinLimit,
                   Options.Rule == AdmissionRule::Greedy || OnEngine == 1 ||
@@ -135,7 +137,7 @@
   addForecast(job, 1);
 }
 
-void Scheduler::takeOffEngine(Job &job) {
+void Scheduler::removeFromEngine(Job &job) {
   if (job.State == JobState::Prefilling)
     PrefillInFlight -= job.PrefillTokens;
   if (job.State == JobState::Yielding)
@@ -155,7 +157,7 @@
   GapWeightSum = 0;
 }
 
-void Scheduler::produced(base::Instant now, JobId id, std::uint32_t count) {
+void Scheduler::recordTokens(base::Instant now, JobId id, std::uint32_t count) {
   const auto it = Jobs.find(id);
   if (it == Jobs.end() || !isOnEngine(it->second))
     return;
@@ -163,34 +165,34 @@
   if (job.State == JobState::Prefilling) {
     PrefillInFlight -= job.PrefillTokens;
     job.State = JobState::Running;
-    job.Since = now;
+    job.StateSince = now;
   }
   if (job.State == JobState::Yielding)
     YieldingTokens += count;
-  Lengths.passed(job.Spec.Class, job.Produced, job.Produced + count);
+  Lengths.recordProgress(job.Spec.Class, job.Produced, job.Produced + count);
   job.Produced += count;
   UsedTokens += count;
   Tenant &tenant = Tenants[job.Spec.Organisation];
   tenant.UsedTokens += count;
   tenant.Attained += count / tenant.Share;
-  if (job.Produced - job.ForecastAt < TokensPerForecast)
+  if (job.Produced - job.ForecastProduced < TokensPerForecast)
     return;
   addForecast(job, -1);
   forecast(job);
   addForecast(job, 1);
 }
 
-void Scheduler::yielded(base::Instant now, JobId id) {
+void Scheduler::recordYielded(base::Instant now, JobId id) {
   const auto it = Jobs.find(id);
   if (it == Jobs.end() || !isOnEngine(it->second))
     return;
   Job &job = it->second;
-  takeOffEngine(job);
+  removeFromEngine(job);
   // The engine can preempt one by itself; that counts as a yield too.
   if (job.State != JobState::Yielding)
     ++job.Yields;
   job.State = JobState::Yielded;
-  job.Since = now;
+  job.StateSince = now;
   Yielded.push_back(id);
 }
 
@@ -201,7 +203,7 @@
   Job &job = it->second;
   Tenant &tenant = Tenants[job.Spec.Organisation];
   if (isOnEngine(job))
-    takeOffEngine(job);
+    removeFromEngine(job);
   if (job.State == JobState::Waiting) {
     std::erase(tenant.Queue, id);
     --WaitingJobs;
@@ -209,20 +211,20 @@
   if (job.State == JobState::Yielded)
     std::erase(Yielded, id);
   if (ended)
-    Lengths.ended(job.Spec.Class, job.Produced);
+    Lengths.recordEnd(job.Spec.Class, job.Produced);
   --tenant.Active;
   Jobs.erase(it);
 }
 
-void Scheduler::stepTook(base::Duration step, std::uint32_t prefillTokens) {
-  const double ms = msOf(step);
+void Scheduler::recordStep(base::Duration step, std::uint32_t prefillTokens) {
+  const double ms = toMillis(step);
   if (prefillTokens == 0) {
-    PlainStepMs += Learning * (ms - PlainStepMs);
+    PlainStepMs += LearningRate * (ms - PlainStepMs);
     return;
   }
   const double perToken = (ms - PlainStepMs) / prefillTokens;
   if (perToken > 0)
-    PrefillTokenMs += Learning * (perToken - PrefillTokenMs);
+    PrefillTokenMs += LearningRate * (perToken - PrefillTokenMs);
 }
 
 double Scheduler::riskFactor() const {
@@ -232,10 +234,10 @@
   return risk * std::sqrt(StallWeightSum / OnEngine);
 }
 
-void Scheduler::fadeRisk(base::Instant now) {
-  const std::chrono::duration<double> since = now - RiskFadedAt;
-  RiskFadedAt = now;
-  RiskBoost *= std::exp(-std::min(since.count() / RiskFadeSeconds, 50.0));
+void Scheduler::decayRisk(base::Instant now) {
+  const std::chrono::duration<double> since = now - RiskDecayedAt;
+  RiskDecayedAt = now;
+  RiskBoost *= std::exp(-std::min(since.count() / RiskDecaySeconds, 50.0));
 }
 
 base::milliseconds Scheduler::stepTarget() const {
@@ -244,36 +246,37 @@
   const double weight = std::max(GapWeightSum / OnEngine, 0.1);
   const auto target = base::milliseconds(static_cast<std::int64_t>(
       static_cast<double>(Options.StepTarget.count()) / std::sqrt(weight)));
-  return std::max(target, LeastStepTarget);
+  return std::max(target, MinStepTarget);
 }
 
-bool Scheduler::isOverdrawn(const Tenant &tenant) const {
+bool Scheduler::exceedsFairShare(const Tenant &tenant) const {
   double shares = 0;
   for (const auto &[name, other] : Tenants)
     if (other.Active > 0)
       shares += other.Share;
   const double even = static_cast<double>(Options.CapacityTokens) *
                       tenant.Share / std::max(shares, tenant.Share);
-  return static_cast<double>(tenant.UsedTokens) > OverdrawnFactor * even;
+  return static_cast<double>(tenant.UsedTokens) > FairShareTolerance * even;
 }
 
-std::uint64_t Scheduler::roomLimit(const Job &job) const {
+std::uint64_t Scheduler::capacityLimit(const Job &job) const {
   const auto it = Tenants.find(job.Spec.Organisation);
-  if (it == Tenants.end() || !isOverdrawn(it->second))
+  if (it == Tenants.end() || !exceedsFairShare(it->second))
     return Options.CapacityTokens;
   return static_cast<std::uint64_t>(
-      static_cast<double>(Options.CapacityTokens) * Options.OverdrawnPart);
+      static_cast<double>(Options.CapacityTokens) *
+      Options.OverShareCapacityFraction);
 }
 
 bool Scheduler::fitsNow(const Job &job) const {
-  const std::uint64_t growth = StepsToYield * (OnEngine + 1ULL);
+  const std::uint64_t growth = YieldLatencySteps * (OnEngine + 1ULL);
   return UsedTokens + job.tokens() + growth <= Options.CapacityTokens;
 }
 
 bool Scheduler::fitsForecast(const Job &job, std::uint64_t limit) const {
   const double z = riskFactor();
   for (std::size_t i = 0; i < Horizons.size(); ++i) {
-    if (Horizons[i] > Options.LongestHorizon)
+    if (Horizons[i] > Options.MaxHorizon)
       break;
     const double mean = MeanSum[i] + job.Mean[i];
     const double variance = std::max(VarianceSum[i] + job.Variance[i], 0.0);
@@ -283,7 +286,7 @@
   return true;
 }
 
-bool Scheduler::fits(Job &job) {
+bool Scheduler::canAdmit(Job &job) {
   if (Options.Rule == AdmissionRule::Greedy)
     return true;
   if (Options.Rule == AdmissionRule::Reserve)
@@ -293,14 +296,14 @@
   // One that fits nowhere near still runs alone.
   if (OnEngine == 0)
     return true;
-  const std::uint64_t limit = roomLimit(job);
+  const std::uint64_t limit = capacityLimit(job);
   if (!fitsNow(job) || UsedTokens + job.tokens() > limit)
     return false;
   forecast(job);
   return fitsForecast(job, limit);
 }
 
-bool Scheduler::prefillAllows(const Job &job) const {
+bool Scheduler::isWithinPrefillBudget(const Job &job) const {
   if (Options.StepTarget.count() == 0 || PrefillInFlight == 0)
     return true;
   const double stretch =
@@ -324,17 +327,17 @@
   return best ? &Jobs.at(best->Queue.front()) : nullptr;
 }
 
-Scheduler::Job *Scheduler::victim() {
+Scheduler::Job *Scheduler::selectVictim() {
   // The fewest yields so far go first: this bounds them for each generation.
   // Then the lowest priority, then the cheapest to bring back among those
   // that make enough room: several small ones would all have to wait.
   Job *best = nullptr;
-  const double enough =
-      static_cast<double>(Options.CapacityTokens) * ReliefPart;
+  const double minFreed =
+      static_cast<double>(Options.CapacityTokens) * MinFreedFraction;
   const auto rank = [&](const Job &job) {
     const bool isProtected = job.Yields >= Options.MaxYields;
     const auto size = static_cast<double>(job.tokens());
-    const bool isSmall = size < enough;
+    const bool isSmall = size < minFreed;
     return std::tuple(isProtected, job.Yields, job.Spec.Priority,
                       job.Spec.StallWeight, isSmall, isSmall ? -size : size);
   };
@@ -348,12 +351,12 @@
   return best;
 }
 
-void Scheduler::relieve(base::Instant now, Decisions &out) {
+void Scheduler::yieldForCapacity(base::Instant now, Decisions &out) {
   if (Options.Rule == AdmissionRule::Greedy)
     return;
-  const std::uint64_t growth = StepsToYield * OnEngine;
+  const std::uint64_t growth = YieldLatencySteps * OnEngine;
   while (UsedTokens - YieldingTokens + growth > Options.CapacityTokens) {
-    Job *job = victim();
+    Job *job = selectVictim();
     // The last one keeps the engine: yielding it would help nobody.
     if (!job || OnEngine < 2)
       return;
@@ -371,32 +374,32 @@
                   job.Yields < Options.MaxYields || allProtected,
                   job.Spec.Organisation);
   job.State = JobState::Yielding;
-  job.Since = now;
+  job.StateSince = now;
   ++job.Yields;
   YieldingTokens += job.tokens();
-  RiskBoost = std::min(RiskBoost + Options.RiskPerYield, MostRiskBoost);
+  RiskBoost = std::min(RiskBoost + Options.RiskPerYield, MaxRiskBoost);
   out.Yield.push_back(job.Id);
 }
 
-bool Scheduler::fitsBack(const Job &job) const {
+bool Scheduler::canResume(const Job &job) const {
   const auto room = static_cast<std::uint64_t>(
-      static_cast<double>(Options.CapacityTokens) * ResumeRoomPart);
-  return OnEngine == 0 ||
-         UsedTokens + job.tokens() + room + StepsToYield * (OnEngine + 1ULL) <=
-             Options.CapacityTokens;
+      static_cast<double>(Options.CapacityTokens) * ResumeHeadroomFraction);
+  return OnEngine == 0 || UsedTokens + job.tokens() + room +
+                                  YieldLatencySteps * (OnEngine + 1ULL) <=
+                              Options.CapacityTokens;
 }
 
 /// Bounds the wait of what had to yield: others that have yielded less make
 /// room for it.
-void Scheduler::makeRoomForOldest(base::Instant now, Decisions &out) {
+void Scheduler::yieldForOldest(base::Instant now, Decisions &out) {
   if (Yielded.empty() || YieldingTokens > 0)
     return;
   const Job &oldest = Jobs.at(Yielded.front());
-  if (now - oldest.Since < Options.ForceResumeAfter)
+  if (now - oldest.StateSince < Options.ForceResumeAfter)
     return;
   std::uint64_t freed = 0;
-  while (!fitsBack(oldest) && freed < oldest.tokens()) {
-    Job *job = victim();
+  while (!canResume(oldest) && freed < oldest.tokens()) {
+    Job *job = selectVictim();
     if (!job || job->Yields >= oldest.Yields)
       return;
     freed += job->tokens();
@@ -407,10 +410,10 @@
 bool Scheduler::resume(base::Instant now, Decisions &out) {
   while (!Yielded.empty()) {
     Job &job = Jobs.at(Yielded.front());
-    if (!fitsBack(job) || !prefillAllows(job))
+    if (!canResume(job) || !isWithinPrefillBudget(job))
       return false;
     Yielded.pop_front();
-    putOnEngine(now, job);
+    placeOnEngine(now, job);
     out.Start.push_back(job.Id);
   }
   return true;
@@ -418,32 +421,33 @@
 
 void Scheduler::admit(base::Instant now, Decisions &out) {
   while (Job *job = nextWaiting()) {
-    if (!prefillAllows(*job) || !fits(*job))
+    if (!isWithinPrefillBudget(*job) || !canAdmit(*job))
       return;
     Tenants[job->Spec.Organisation].Queue.pop_front();
     --WaitingJobs;
-    putOnEngine(now, *job);
+    placeOnEngine(now, *job);
     out.Start.push_back(job->Id);
-    const double since = msOf(now - LastAdmission);
-    constexpr double LongestSinceMs = 5'000;
-    AdmissionMs += Learning * (std::min(since, LongestSinceMs) - AdmissionMs);
+    const double since = toMillis(now - LastAdmission);
+    constexpr double MaxIntervalMs = 5'000;
+    AdmissionIntervalMs +=
+        LearningRate * (std::min(since, MaxIntervalMs) - AdmissionIntervalMs);
     LastAdmission = now;
   }
 }
 
 Decisions Scheduler::decide(base::Instant now) {
   Decisions out;
-  fadeRisk(now);
-  relieve(now, out);
+  decayRisk(now);
+  yieldForCapacity(now, out);
   // What had to yield comes back before any new work.
   if (!resume(now, out))
-    makeRoomForOldest(now, out);
+    yieldForOldest(now, out);
   else if (YieldingTokens == 0)
     admit(now, out);
   return out;
 }
 
-std::uint32_t Scheduler::yieldsOf(JobId id) const {
+std::uint32_t Scheduler::yieldCount(JobId id) const {
   const auto it = Jobs.find(id);
   return it == Jobs.end() ? 0 : it->second.Yields;
 }
@@ -454,8 +458,8 @@
   load.Waiting = WaitingJobs + static_cast<std::uint32_t>(Yielded.size());
   load.UsedTokens = UsedTokens;
   load.CapacityTokens = Options.CapacityTokens;
-  load.PredictedWait =
-      base::milliseconds(static_cast<std::int64_t>(AdmissionMs * WaitingJobs));
+  load.PredictedWait = base::milliseconds(
+      static_cast<std::int64_t>(AdmissionIntervalMs * WaitingJobs));
   return load;
 }
 
--- a/src/agent/shell.cc
+++ b/src/agent/shell.cc
@@ -23,19 +23,19 @@
 
 /// Requests that the agent can hold at a time; each entry has one long poll.
 constexpr int ControlContexts = 256;
-constexpr milliseconds TickEvery{5};
-constexpr milliseconds IdleTickEvery{20};
-constexpr milliseconds ObserveEvery{500};
-constexpr milliseconds ObserveLimit{2'000};
+constexpr milliseconds TickInterval{5};
+constexpr milliseconds IdleTickInterval{20};
+constexpr milliseconds ObserveInterval{500};
+constexpr milliseconds ObserveTimeout{2'000};
 /// A backend server that misses this many looks is taken for dead.
-constexpr int MissesUntilDead = 3;
-constexpr milliseconds StreamSilence{30'000};
-constexpr milliseconds StopLimit{2'000};
-constexpr int StopTries = 3;
-constexpr milliseconds CallLimit{7'000};
-constexpr milliseconds LoadLimit{60'000};
+constexpr int MaxMissedObservations = 3;
+constexpr milliseconds StreamIdleTimeout{30'000};
+constexpr milliseconds StopTimeout{2'000};
+constexpr int StopAttempts = 3;
+constexpr milliseconds CallTimeout{7'000};
+constexpr milliseconds LoadTimeout{60'000};
 /// After the last answer, entries get this long to fetch it.
-constexpr milliseconds LingerAfterDrain{1'500};
+constexpr milliseconds DrainLinger{1'500};
 
 std::string requestBody(const StartOnEngine &c) {
   return Json{{"id", c.RequestId},
@@ -73,16 +73,16 @@
   options.Service = s.Settings.Service;
   options.Place = s.Settings.Daemon.Place;
   options.Incarnation = base::secureRandom64() | 1;
-  options.StartedAt = s.Time.now().Wall;
+  options.StartedAt = s.Clock.now().Wall;
   options.Trusted = s.Settings.Daemon.Trusted;
   options.Scheduling = s.Settings.Scheduling;
-  options.Note = [](std::string_view part, std::string_view sentence) {
+  options.LogDecision = [](std::string_view part, std::string_view sentence) {
     base::Log(std::string(part)).info("{}", sentence);
   };
-  options.Count = [&s](std::string_view metric, double by) {
+  options.IncrementMetric = [&s](std::string_view metric, double by) {
     s.Metrics.count(metric, {}, by);
   };
-  s.TheCore = std::make_unique<Core>(std::move(options));
+  s.AgentCore = std::make_unique<Core>(std::move(options));
   auto control = wire::Server::listen(
       s.Settings.Daemon.ControlListen, s.Settings.Daemon.Key, ControlContexts,
       [&s](wire::Request request, wire::Responder respond) {
@@ -114,14 +114,14 @@
 void Shell::leave() {
   std::optional<base::Instant> deadline;
   if (Settings.ReclaimNotice.count() > 0)
-    deadline = Time.now().Steady + Settings.ReclaimNotice;
+    deadline = Clock.now().Steady + Settings.ReclaimNotice;
   IsLeaving = true;
-  dispatch(LeaveOrdered{deadline});
+  dispatch(LeaveRequested{deadline});
 }
 
 void Shell::dispatch(Event event) {
   const std::lock_guard guard(CoreLock);
-  for (Command &command : TheCore->handle(Time.now(), std::move(event)))
+  for (Command &command : AgentCore->handle(Clock.now(), std::move(event)))
     std::visit([&](auto &c) { execute(c); }, command);
 }
 
@@ -139,12 +139,12 @@
 
 void Shell::execute(StopOnEngine &c) {
   if (const auto it = Streams.find(c.RequestId);
-      it != Streams.end() && !c.Keep) {
+      it != Streams.end() && !c.KeepState) {
     *it->second = true;
     Streams.erase(it);
   }
   Runtime.spawn(stopStream("/v1/streams/" + c.RequestId +
-                           "/stop?keep=" + (c.Keep ? "1" : "0")));
+                           "/stop?keep=" + (c.KeepState ? "1" : "0")));
 }
 
 void Shell::execute(CallService &c) { Runtime.spawn(runCall(std::move(c))); }
@@ -155,7 +155,7 @@
 Shell::runStream(StartOnEngine start,
                  std::shared_ptr<std::atomic<bool>> stopped) {
   const std::string id = start.RequestId;
-  std::optional<EngineEnd> how;
+  std::optional<EngineOutcome> outcome;
   const auto onEvent = [&](const http::ServerEvent &event) {
     if (*stopped)
       return false;
@@ -166,23 +166,24 @@
       dispatch(TokensArrived{id, index, {event.Data}});
       return true;
     }
-    how = event.Name == "done"      ? EngineEnd::Finished
-          : event.Name == "yielded" ? EngineEnd::LetGo
-                                    : EngineEnd::Lost;
+    outcome = event.Name == "done"      ? EngineOutcome::Finished
+              : event.Name == "yielded" ? EngineOutcome::Released
+                                        : EngineOutcome::ConnectionLost;
     return false;
   };
   http::Request request{"POST", "/v1/streams", {}, requestBody(start)};
   const http::StreamEnd end = co_await http::stream(
-      Settings.Backend, std::move(request), StreamSilence, onEvent);
+      Settings.Backend, std::move(request), StreamIdleTimeout, onEvent);
   if (*stopped)
     co_return;
-  if (!how && !end.Reached)
-    how = EngineEnd::Unreached;
-  if (!how && end.Status == 409)
-    how = EngineEnd::Unresumable;
-  if (!how && end.Status == 503)
-    how = EngineEnd::Refused;
-  dispatch(EngineStreamEnded{id, how.value_or(EngineEnd::Lost)});
+  if (!outcome && !end.Reached)
+    outcome = EngineOutcome::Unreachable;
+  if (!outcome && end.Status == 409)
+    outcome = EngineOutcome::Unresumable;
+  if (!outcome && end.Status == 503)
+    outcome = EngineOutcome::Refused;
+  dispatch(
+      EngineStreamEnded{id, outcome.value_or(EngineOutcome::ConnectionLost)});
   const std::lock_guard guard(CoreLock);
   const auto it = Streams.find(id);
   if (it != Streams.end() && it->second == stopped)
@@ -190,13 +191,13 @@
 }
 
 asio::awaitable<void> Shell::stopStream(std::string target) {
-  for (int i = 0; i < StopTries; ++i) {
+  for (int i = 0; i < StopAttempts; ++i) {
     http::Request request{"POST", target, {}, {}};
     const auto fetched =
-        co_await http::fetch(Settings.Backend, std::move(request), StopLimit);
+        co_await http::fetch(Settings.Backend, std::move(request), StopTimeout);
     if (ok(fetched.Answer))
       co_return;
-    co_await sleepFor(StopLimit / 4);
+    co_await sleepFor(StopTimeout / 4);
   }
 }
 
@@ -207,7 +208,7 @@
                          {"X-Organisation", call.Call.organisation()}},
                         call.Call.body()};
   const auto fetched =
-      co_await http::fetch(Settings.Backend, std::move(request), CallLimit);
+      co_await http::fetch(Settings.Backend, std::move(request), CallTimeout);
   CallEnded ended{call.RequestId, fetched.Reached, ok(fetched.Answer), {}};
   if (ended.Answered) {
     const http::Response &response = value(fetched.Answer);
@@ -229,7 +230,7 @@
       {},
       Json{{"fence", order.Fence}, {"models", models}}.dump()};
   const auto fetched =
-      co_await http::fetch(Settings.Backend, std::move(request), LoadLimit);
+      co_await http::fetch(Settings.Backend, std::move(request), LoadTimeout);
   const int status = ok(fetched.Answer) ? value(fetched.Answer).Status : 0;
   base::Log("agent.place").info("load fence={} status={}", order.Fence, status);
 }
@@ -237,13 +238,13 @@
 asio::awaitable<void> Shell::tickLoop() {
   bool hasWork = false;
   for (;;) {
-    co_await sleepFor(hasWork ? TickEvery : IdleTickEvery);
+    co_await sleepFor(hasWork ? TickInterval : IdleTickInterval);
     dispatch(Tick{});
     {
       const std::lock_guard guard(CoreLock);
-      hasWork = TheCore->hasWork();
+      hasWork = AgentCore->hasWork();
     }
-    if (mayFinish()) {
+    if (shouldStop()) {
       base::Log("agent.drain").info("drained: stopping");
       Runtime.finish();
       co_return;
@@ -251,29 +252,29 @@
   }
 }
 
-bool Shell::mayFinish() {
+bool Shell::shouldStop() {
   if (!IsLeaving)
     return false;
   const std::lock_guard guard(CoreLock);
-  const base::Instant now = Time.now().Steady;
-  if (TheCore->hasWork())
+  const base::Instant now = Clock.now().Steady;
+  if (AgentCore->hasWork())
     DrainedAt = {};
   else if (DrainedAt == base::Instant{})
     DrainedAt = now;
-  return DrainedAt != base::Instant{} && now - DrainedAt > LingerAfterDrain;
+  return DrainedAt != base::Instant{} && now - DrainedAt > DrainLinger;
 }
 
 asio::awaitable<ServerObserved> Shell::observeEngine() {
-  ServerObserved seen;
+  ServerObserved observed;
   http::Request request{"GET", "/v1/load", {}, {}};
-  const auto fetched =
-      co_await http::fetch(Settings.Backend, std::move(request), ObserveLimit);
+  const auto fetched = co_await http::fetch(Settings.Backend,
+                                            std::move(request), ObserveTimeout);
   if (!ok(fetched.Answer) || value(fetched.Answer).Status != 200)
-    co_return seen;
+    co_return observed;
   const Json json = Json::parse(value(fetched.Answer).Body, nullptr, false);
   try {
-    seen.CapacityTokens = json.at("capacityTokens").get<std::uint64_t>();
-    seen.Models = modelsFrom(json.at("models"));
+    observed.CapacityTokens = json.at("capacityTokens").get<std::uint64_t>();
+    observed.Models = modelsFrom(json.at("models"));
     const double step = json.at("plainStepMs").get<double>();
     const double token = json.at("prefillTokenMs").get<double>();
     constexpr std::uint32_t Sample = 1'000;
@@ -282,20 +283,20 @@
     };
     dispatch(StepObserved{nanos(step), 0});
     dispatch(StepObserved{nanos(step + token * Sample), Sample});
-    seen.IsAlive = true;
+    observed.IsAlive = true;
   } catch (const Json::exception &e) {
     base::Log("agent.engine").warn("malformed load report: {}", e.what());
   }
-  co_return seen;
+  co_return observed;
 }
 
 asio::awaitable<ServerObserved> Shell::observeService() {
-  ServerObserved seen;
+  ServerObserved observed;
   http::Request request{"GET", "/healthz", {}, {}};
-  const auto fetched =
-      co_await http::fetch(Settings.Backend, std::move(request), ObserveLimit);
-  seen.IsAlive = ok(fetched.Answer) && value(fetched.Answer).Status == 200;
-  co_return seen;
+  const auto fetched = co_await http::fetch(Settings.Backend,
+                                            std::move(request), ObserveTimeout);
+  observed.IsAlive = ok(fetched.Answer) && value(fetched.Answer).Status == 200;
+  co_return observed;
 }
 
 asio::awaitable<void> Shell::observeLoop() {
@@ -305,16 +306,16 @@
     co_await stopStream("/v1/streams/stop-all");
   int misses = 0;
   for (;;) {
-    ServerObserved seen;
+    ServerObserved observed;
     if (isEngine)
-      seen = co_await observeEngine();
+      observed = co_await observeEngine();
     else
-      seen = co_await observeService();
-    misses = seen.IsAlive ? 0 : misses + 1;
-    if (seen.IsAlive || misses >= MissesUntilDead)
-      dispatch(std::move(seen));
+      observed = co_await observeService();
+    misses = observed.IsAlive ? 0 : misses + 1;
+    if (observed.IsAlive || misses >= MaxMissedObservations)
+      dispatch(std::move(observed));
     updateMetrics();
-    co_await sleepFor(ObserveEvery);
+    co_await sleepFor(ObserveInterval);
   }
 }
 
@@ -323,8 +324,8 @@
   wire::Versions versions;
   {
     const std::lock_guard guard(CoreLock);
-    load = TheCore->load();
-    versions = TheCore->documents().versions();
+    load = AgentCore->load();
+    versions = AgentCore->documents().versions();
   }
   Metrics.set("drumlanding_running", load.Running);
   Metrics.set("drumlanding_waiting", load.Waiting);
@@ -344,7 +345,7 @@
 asio::awaitable<void> Shell::admin(http::Request request, http::Exchange &x) {
   const auto isReady = [this] {
     const std::lock_guard guard(CoreLock);
-    return TheCore->serverState() == ServerState::Serving;
+    return AgentCore->serverState() == ServerState::Serving;
   };
   auto page = daemon::operatorsPage(request, Metrics, isReady);
   if (!page)
--- a/src/agent/shell.h
+++ b/src/agent/shell.h
@@ -64,14 +64,14 @@
   asio::awaitable<ServerObserved> observeService();
   asio::awaitable<void> admin(http::Request request, http::Exchange &x);
   void updateMetrics();
-  bool mayFinish();
+  bool shouldStop();
 
   daemon::Runtime &Runtime;
   ShellSettings Settings;
-  base::SystemClock Time;
+  base::SystemClock Clock;
   base::Metrics Metrics;
   base::Log DecisionLog;
-  std::unique_ptr<Core> TheCore;
+  std::unique_ptr<Core> AgentCore;
   std::mutex CoreLock;
   std::unordered_map<ReplyId, wire::Responder> Responders;
   ReplyId NextReply = 1;
--- a/src/wire/link.cc
+++ b/src/wire/link.cc
@@ -18,9 +18,9 @@
 using base::Result;
 
 constexpr std::size_t MacBytes = 16;
-constexpr std::size_t LargestMessage = 4 << 20;
-constexpr nng_duration ReconnectMin = 50;
-constexpr nng_duration ReconnectMax = 1000;
+constexpr std::size_t MaxMessageBytes = 4 << 20;
+constexpr nng_duration MinReconnectMs = 50;
+constexpr nng_duration MaxReconnectMs = 1000;
 
 std::string macOf(const ControlKey &key, std::uint64_t nonce, bool isReply,
                   std::string_view payload) {
@@ -45,11 +45,11 @@
   return "tcp://" + base::toString(endpoint);
 }
 
-Error failure(const base::Endpoint &endpoint, int code) {
+Error transportError(const base::Endpoint &endpoint, int code) {
   return {ErrorCode::Unavailable, base::toString(endpoint), nng_strerror(code)};
 }
 
-nng_msg *messageOf(const std::string &bytes) {
+nng_msg *makeMessage(const std::string &bytes) {
   nng_msg *message = nullptr;
   if (nng_msg_alloc(&message, 0) != 0)
     return nullptr;
@@ -73,8 +73,8 @@
   return envelope.SerializeAsString();
 }
 
-Result<Opened> open(const ControlKey &key, bool isReply,
-                    std::string_view bytes) {
+Result<OpenedEnvelope> open(const ControlKey &key, bool isReply,
+                            std::string_view bytes) {
   Envelope envelope;
   if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return base::invalid("envelope", "malformed");
@@ -83,11 +83,12 @@
   if (envelope.mac().size() != MacBytes ||
       sodium_memcmp(mac.data(), envelope.mac().data(), MacBytes) != 0)
     return Error{ErrorCode::Forbidden, "envelope", "wrong key"};
-  return Opened{envelope.nonce(), std::move(*envelope.mutable_payload())};
+  return OpenedEnvelope{envelope.nonce(),
+                        std::move(*envelope.mutable_payload())};
 }
 
 /// One request that a server holds at a time: receive, handle, send.
-struct ServerSlot {
+struct RequestSlot {
   nng_ctx Context = NNG_CTX_INITIALIZER;
   nng_aio *Aio = nullptr;
   bool Sending = false;
@@ -102,28 +103,28 @@
   /// Guards Closed and every start of an operation; never held in Handler.
   std::mutex Lock;
   bool Closed = false;
-  std::vector<std::unique_ptr<ServerSlot>> Slots;
+  std::vector<std::unique_ptr<RequestSlot>> Slots;
 
   static void onAio(void *slot) {
-    auto &s = *static_cast<ServerSlot *>(slot);
-    s.Owner->advance(s);
+    auto &s = *static_cast<RequestSlot *>(slot);
+    s.Owner->onComplete(s);
   }
-  void receive(ServerSlot &slot);
-  void send(ServerSlot &slot, std::uint64_t nonce, const Reply &reply);
-  void advance(ServerSlot &slot);
+  void receive(RequestSlot &slot);
+  void send(RequestSlot &slot, std::uint64_t nonce, const Reply &reply);
+  void onComplete(RequestSlot &slot);
 };
 
 namespace {
 
 /// Answers once; an unused one frees its slot for the next request.
-class ReplyTicket {
+class ReplyHandle {
 public:
-  ReplyTicket(std::weak_ptr<Server::State> owner, ServerSlot &slot,
+  ReplyHandle(std::weak_ptr<Server::State> owner, RequestSlot &slot,
               std::uint64_t nonce)
       : Owner(std::move(owner)), Slot(slot), Nonce(nonce) {}
-  ReplyTicket(const ReplyTicket &) = delete;
-  ReplyTicket &operator=(const ReplyTicket &) = delete;
-  ~ReplyTicket() {
+  ReplyHandle(const ReplyHandle &) = delete;
+  ReplyHandle &operator=(const ReplyHandle &) = delete;
+  ~ReplyHandle() {
     if (Used.exchange(true))
       return;
     if (auto owner = Owner.lock())
@@ -138,14 +139,14 @@
 
 private:
   std::weak_ptr<Server::State> Owner;
-  ServerSlot &Slot;
+  RequestSlot &Slot;
   std::uint64_t Nonce;
   std::atomic<bool> Used{false};
 };
 
 } // namespace
 
-void Server::State::receive(ServerSlot &slot) {
+void Server::State::receive(RequestSlot &slot) {
   const std::lock_guard guard(Lock);
   if (Closed)
     return;
@@ -153,7 +154,7 @@
   nng_ctx_recv(slot.Context, slot.Aio);
 }
 
-void Server::State::send(ServerSlot &slot, std::uint64_t nonce,
+void Server::State::send(RequestSlot &slot, std::uint64_t nonce,
                          const Reply &reply) {
   const std::string bytes = seal(Key, nonce, true, reply.SerializeAsString());
   const std::lock_guard guard(Lock);
@@ -161,11 +162,11 @@
     return;
   Counters.BytesOut += bytes.size();
   slot.Sending = true;
-  nng_aio_set_msg(slot.Aio, messageOf(bytes));
+  nng_aio_set_msg(slot.Aio, makeMessage(bytes));
   nng_ctx_send(slot.Context, slot.Aio);
 }
 
-void Server::State::advance(ServerSlot &slot) {
+void Server::State::onComplete(RequestSlot &slot) {
   const int code = nng_aio_result(slot.Aio);
   if (slot.Sending) {
     if (code != 0)
@@ -181,7 +182,7 @@
   }
   nng_msg *message = nng_aio_get_msg(slot.Aio);
   Counters.BytesIn += nng_msg_len(message);
-  Result<Opened> opened = open(Key, false, bytesOf(message));
+  Result<OpenedEnvelope> opened = open(Key, false, bytesOf(message));
   nng_msg_free(message);
   Request request;
   if (!ok(opened) || !request.ParseFromString(value(opened).Payload)) {
@@ -189,10 +190,10 @@
     receive(slot);
     return;
   }
-  auto ticket = std::make_shared<ReplyTicket>(weak_from_this(), slot,
+  auto handle = std::make_shared<ReplyHandle>(weak_from_this(), slot,
                                               value(opened).Nonce);
   Handler(std::move(request),
-          [ticket](const Reply &reply) { ticket->send(reply); });
+          [handle](const Reply &reply) { handle->send(reply); });
 }
 
 Result<std::unique_ptr<Server>> Server::listen(const base::Endpoint &endpoint,
@@ -202,16 +203,16 @@
   state->Key = std::move(key);
   state->Handler = std::move(handler);
   if (const int code = nng_rep0_open(&state->Socket); code != 0)
-    return failure(endpoint, code);
-  nng_socket_set_size(state->Socket, NNG_OPT_RECVMAXSZ, LargestMessage);
+    return transportError(endpoint, code);
+  nng_socket_set_size(state->Socket, NNG_OPT_RECVMAXSZ, MaxMessageBytes);
   if (const int code =
           nng_listen(state->Socket, urlOf(endpoint).c_str(), nullptr, 0);
       code != 0) {
     nng_close(state->Socket);
-    return failure(endpoint, code);
+    return transportError(endpoint, code);
   }
   for (int i = 0; i < contexts; ++i) {
-    auto slot = std::make_unique<ServerSlot>();
+    auto slot = std::make_unique<RequestSlot>();
     slot->Owner = state.get();
     nng_ctx_open(&slot->Context, state->Socket);
     nng_aio_alloc(&slot->Aio, &State::onAio, slot.get());
@@ -252,26 +253,26 @@
   ControlKey Key;
   base::Endpoint Peer;
   std::shared_ptr<LinkCounters> Counters;
-  base::SystemClock Time;
+  base::SystemClock Clock;
   /// Guards Closed, Calls and Free; never held while a handler runs.
   std::mutex Lock;
   bool Closed = false;
   std::vector<std::unique_ptr<ClientCall>> Calls;
-  std::vector<ClientCall *> Free;
+  std::vector<ClientCall *> IdleCalls;
 
   static void onAio(void *call) {
     auto &c = *static_cast<ClientCall *>(call);
-    c.Owner->advance(c);
+    c.Owner->onComplete(c);
   }
-  ClientCall *take();
-  void advance(ClientCall &call);
+  ClientCall *acquireCall();
+  void onComplete(ClientCall &call);
   void finish(ClientCall &call, Result<Reply> result);
 };
 
-ClientCall *Client::State::take() {
-  if (!Free.empty()) {
-    ClientCall *call = Free.back();
-    Free.pop_back();
+ClientCall *Client::State::acquireCall() {
+  if (!IdleCalls.empty()) {
+    ClientCall *call = IdleCalls.back();
+    IdleCalls.pop_back();
     return call;
   }
   auto call = std::make_unique<ClientCall>();
@@ -288,12 +289,12 @@
   call.Done = nullptr;
   {
     const std::lock_guard guard(Lock);
-    Free.push_back(&call);
+    IdleCalls.push_back(&call);
   }
   done(std::move(result));
 }
 
-void Client::State::advance(ClientCall &call) {
+void Client::State::onComplete(ClientCall &call) {
   const int code = nng_aio_result(call.Aio);
   if (code != 0) {
     if (call.Sending)
@@ -304,15 +305,15 @@
   }
   if (call.Sending) {
     call.Sending = false;
-    const auto left = base::toMs(call.Deadline - Time.now().Steady);
-    nng_aio_set_timeout(
-        call.Aio, static_cast<nng_duration>(std::max<std::int64_t>(left, 1)));
+    const auto remainingMs = base::toMs(call.Deadline - Clock.now().Steady);
+    nng_aio_set_timeout(call.Aio, static_cast<nng_duration>(
+                                      std::max<std::int64_t>(remainingMs, 1)));
     nng_ctx_recv(call.Context, call.Aio);
     return;
   }
   nng_msg *message = nng_aio_get_msg(call.Aio);
   Counters->BytesIn += nng_msg_len(message);
-  Result<Opened> opened = open(Key, true, bytesOf(message));
+  Result<OpenedEnvelope> opened = open(Key, true, bytesOf(message));
   nng_msg_free(message);
   Reply reply;
   if (!ok(opened) || value(opened).Nonce != call.Nonce ||
@@ -335,10 +336,10 @@
   state->Peer = endpoint;
   state->Counters = std::move(counters);
   if (const int code = nng_req0_open(&state->Socket); code != 0)
-    return failure(endpoint, code);
-  nng_socket_set_size(state->Socket, NNG_OPT_RECVMAXSZ, LargestMessage);
-  nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMINT, ReconnectMin);
-  nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMAXT, ReconnectMax);
+    return transportError(endpoint, code);
+  nng_socket_set_size(state->Socket, NNG_OPT_RECVMAXSZ, MaxMessageBytes);
+  nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMINT, MinReconnectMs);
+  nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMAXT, MaxReconnectMs);
   // Repeats are decided by the cores, never by the transport.
   nng_socket_set_ms(state->Socket, NNG_OPT_REQ_RESENDTIME,
                     NNG_DURATION_INFINITE);
@@ -346,7 +347,7 @@
                                 NNG_FLAG_NONBLOCK);
       code != 0) {
     nng_close(state->Socket);
-    return failure(endpoint, code);
+    return transportError(endpoint, code);
   }
   return std::unique_ptr<Client>(new Client(std::move(state)));
 }
@@ -369,7 +370,7 @@
   const std::string bytes =
       seal(S->Key, nonce, false, request.SerializeAsString());
   std::unique_lock guard(S->Lock);
-  ClientCall *call = S->Closed ? nullptr : S->take();
+  ClientCall *call = S->Closed ? nullptr : S->acquireCall();
   if (!call) {
     guard.unlock();
     done(Error{ErrorCode::Unavailable, base::toString(S->Peer), "closed"});
@@ -378,10 +379,10 @@
   call->Nonce = nonce;
   call->Done = std::move(done);
   call->Sending = true;
-  call->Deadline = S->Time.now().Steady + timeout;
+  call->Deadline = S->Clock.now().Steady + timeout;
   S->Counters->BytesOut += bytes.size();
   nng_aio_set_timeout(call->Aio, static_cast<nng_duration>(timeout.count()));
-  nng_aio_set_msg(call->Aio, messageOf(bytes));
+  nng_aio_set_msg(call->Aio, makeMessage(bytes));
   nng_ctx_send(call->Context, call->Aio);
 }
 
--- a/test/fault-matrix-test.cc
+++ b/test/fault-matrix-test.cc
@@ -1,7 +1,7 @@
 // The fault matrix: every fault at every step of a request, and pairs of
 // faults at the dangerous steps. Prints how many cells ran and names those
 // that are not covered.
-#include "world.h"
+#include "simulated-cluster.h"
 
 #include <cstdio>
 #include <gtest/gtest.h>
@@ -15,31 +15,31 @@
 constexpr int Faults = static_cast<int>(Fault::Last) + 1;
 
 /// Requests of every kind, so that every step is reached.
-void scenario(World &world) {
-  world.askGeneration(0);
-  world.askGeneration(1);
-  world.askCall(0, true);
-  world.askCall(1, false);
-  world.run(150ms);
-  world.dropCaller();
-  world.askGeneration(1);
-  world.run(100ms);
-  world.rollOut(2);
-  world.cancelOne(1);
-  world.askGeneration(0);
-  world.askCall(1, true);
-  world.run(3s);
-  world.askGeneration(0);
-  world.askCall(0, false);
-  world.run(10s);
-  world.settle();
+void scenario(SimulatedCluster &cluster) {
+  cluster.requestGeneration(0);
+  cluster.requestGeneration(1);
+  cluster.requestCall(0, true);
+  cluster.requestCall(1, false);
+  cluster.run(150ms);
+  cluster.disconnectCaller();
+  cluster.requestGeneration(1);
+  cluster.run(100ms);
+  cluster.rollOut(2);
+  cluster.cancelGeneration(1);
+  cluster.requestGeneration(0);
+  cluster.requestCall(1, true);
+  cluster.run(3s);
+  cluster.requestGeneration(0);
+  cluster.requestCall(0, false);
+  cluster.run(10s);
+  cluster.settle();
 }
 
 /// A cell of the matrix and how it went.
 struct CellResult {
-  bool Struck = false;
-  std::string Wrong;
-  std::size_t Whole = 0;
+  bool WasInjected = false;
+  std::string Violations;
+  std::size_t CompleteAnswers = 0;
 };
 
 /// The second fault of a pair; none for a single one.
@@ -50,83 +50,84 @@
 
 CellResult runCell(Step step, Fault fault, int nth, std::uint64_t seed,
                    std::optional<SecondFault> second = std::nullopt) {
-  WorldOptions options;
+  SimulatedClusterOptions options;
   options.Seed = seed;
-  World world(options);
+  SimulatedCluster cluster(options);
   // A lost reply makes the entry ask: only then are these steps reached.
   if (step == Step::RevokeRequest || step == Step::RevokeReply)
-    world.inject(Fault::CutToEntry, 0, 0);
+    cluster.inject(Fault::CutToEntry, 0, 0);
   // A fresh entry fetches what its peers have.
   if (step == Step::FetchRequest || step == Step::FetchReply) {
-    world.inject(Fault::KvOutage, 0, 0);
-    world.inject(Fault::KillEntry, 0, 0);
+    cluster.inject(Fault::KvOutage, 0, 0);
+    cluster.inject(Fault::KillEntry, 0, 0);
   }
-  world.injectAt(step, fault, nth);
+  cluster.injectAt(step, fault, nth);
   if (second)
-    world.followWith(second->Kind, second->After);
-  scenario(world);
-  CellResult result{world.wasInjected(), world.check(), world.wholeAnswers()};
-  for (std::size_t i = 0; i < world.agents(); ++i)
-    if (world.bundleOfAgent(i) != 2)
-      result.Wrong += "an agent has not got the bundle; ";
+    cluster.scheduleSecondFault(second->Kind, second->After);
+  scenario(cluster);
+  CellResult result{cluster.wasInjected(), cluster.check(),
+                    cluster.completeAnswers()};
+  for (std::size_t i = 0; i < cluster.agents(); ++i)
+    if (cluster.bundleOfAgent(i) != 2)
+      result.Violations += "an agent has not got the bundle; ";
   for (std::size_t i = 0; i < 2; ++i)
-    if (world.bundleOfEntry(i) != 2)
-      result.Wrong += "an entry has not got the bundle; ";
+    if (cluster.bundleOfEntry(i) != 2)
+      result.Violations += "an entry has not got the bundle; ";
   return result;
 }
 
-TEST(FaultMatrix, WithoutFaultsAllIsWhole) {
-  World world({});
-  scenario(world);
-  EXPECT_EQ(world.check(), "");
+TEST(FaultMatrix, WithoutFaultsAllRequestsComplete) {
+  SimulatedCluster cluster({});
+  scenario(cluster);
+  EXPECT_EQ(cluster.check(), "");
   // All but the one generation that its caller cancels.
-  EXPECT_EQ(world.wholeAnswers() + 1, world.requests());
+  EXPECT_EQ(cluster.completeAnswers() + 1, cluster.requests());
 }
 
 TEST(FaultMatrix, EveryFaultAtEveryStep) {
-  constexpr int Times[] = {1, 2, 5};
-  constexpr int MostSeeds = 8;
+  constexpr int Occurrences[] = {1, 2, 5};
+  constexpr int MaxSeeds = 8;
   int cells = 0;
   int runs = 0;
-  std::size_t fewestWhole = 1'000;
+  std::size_t fewestComplete = 1'000;
   std::string uncovered;
   for (int s = 0; s < Steps; ++s)
     for (int f = 0; f < Faults; ++f) {
       const auto step = static_cast<Step>(s);
       const auto fault = static_cast<Fault>(f);
-      bool everStruck = false;
-      for (int seed = 0; seed < MostSeeds && !everStruck; ++seed)
-        for (int nth : Times) {
+      bool wasInjected = false;
+      for (int seed = 0; seed < MaxSeeds && !wasInjected; ++seed)
+        for (int nth : Occurrences) {
           const CellResult r =
               runCell(step, fault, nth,
                       static_cast<std::uint64_t>(s * 1000 + f * 20 + seed));
-          runs += r.Struck ? 1 : 0;
-          everStruck = everStruck || r.Struck;
-          fewestWhole = std::min(fewestWhole, r.Whole);
-          EXPECT_EQ(r.Wrong, "") << toString(step) << " x " << toString(fault)
-                                 << " at time " << nth;
+          runs += r.WasInjected ? 1 : 0;
+          wasInjected = wasInjected || r.WasInjected;
+          fewestComplete = std::min(fewestComplete, r.CompleteAnswers);
+          EXPECT_EQ(r.Violations, "") << toString(step) << " x "
+                                      << toString(fault) << " at time " << nth;
         }
-      cells += everStruck ? 1 : 0;
-      if (!everStruck)
+      cells += wasInjected ? 1 : 0;
+      if (!wasInjected)
         uncovered += std::string(toString(step)) + " x " +
                      std::string(toString(fault)) + ": step not reached\n";
     }
   std::printf("fault matrix: %d of %d cells covered by %d runs; fewest whole "
               "answers %zu\n%s",
-              cells, Steps * Faults, runs, fewestWhole, uncovered.c_str());
+              cells, Steps * Faults, runs, fewestComplete, uncovered.c_str());
   EXPECT_EQ(uncovered, "");
   // Refusing everything would keep the promises too.
-  EXPECT_GE(fewestWhole, 5U);
+  EXPECT_GE(fewestComplete, 5U);
 }
 
-TEST(FaultMatrix, PairsAtDangerousSteps) {
-  constexpr Step Dangerous[] = {Step::StartRequest,  Step::StartReply,
-                                Step::CallRequest,   Step::CallReply,
-                                Step::PollReply,     Step::EngineStart,
-                                Step::ServiceAnswer, Step::PushRequest};
-  int struck = 0;
+TEST(FaultMatrix, FaultPairsAtCriticalSteps) {
+  constexpr Step CriticalSteps[] = {Step::StartRequest,  Step::StartReply,
+                                    Step::CallRequest,   Step::CallReply,
+                                    Step::PollReply,     Step::EngineStart,
+                                    Step::ServiceAnswer, Step::PushRequest};
+  int injected = 0;
   int runs = 0;
-  for (Step step : Dangerous)
+  for (Step step : CriticalSteps)
     for (int first = 0; first < Faults; ++first)
       for (int second = 0; second < Faults; ++second) {
         const auto seed = static_cast<std::uint64_t>(first * Faults + second);
@@ -136,12 +137,12 @@
             runCell(step, static_cast<Fault>(first), 1, seed,
                     SecondFault{static_cast<Fault>(second), after});
         ++runs;
-        struck += r.Struck ? 1 : 0;
-        EXPECT_EQ(r.Wrong, "")
+        injected += r.WasInjected ? 1 : 0;
+        EXPECT_EQ(r.Violations, "")
             << toString(step) << " x " << toString(static_cast<Fault>(first))
             << " then " << toString(static_cast<Fault>(second));
       }
-  std::printf("fault matrix: %d of %d pairs struck\n", struck, runs);
+  std::printf("fault matrix: %d of %d pairs struck\n", injected, runs);
 }
 
 } // namespace
--- a/test/link-test.cc
+++ b/test/link-test.cc
@@ -16,7 +16,7 @@
   EXPECT_EQ(base::value(opened).Payload, "hello");
 }
 
-TEST(Envelope, RefusesStrangersDirectionsAndChanges) {
+TEST(Envelope, RefusesWrongKeyWrongDirectionAndTampering) {
   const std::string sealed = seal(Key, 42, false, "hello");
   EXPECT_FALSE(ok(open({std::string(32, 'x')}, false, sealed)));
   // A request cannot pass for a reply.
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(Envelope, RandomBytesAndCutMessagesAreRefused) {
+TEST(Envelope, RefusesRandomAndTruncatedMessages) {
   base::Random random(7);
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes;
@@ -48,7 +48,7 @@
     EXPECT_FALSE(ok(open(Key, false, sealed.substr(0, size))));
 }
 
-TEST(RequestIds, NameServerAndIncarnation) {
+TEST(RequestIds, EncodeServerAndIncarnation) {
   const RequestId id{"tutor-llm-1", 0x2a, "000102030405060708090a0b0c0d0e0f"};
   const auto again = parseRequestId(toString(id));
   ASSERT_TRUE(ok(again));
--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -1,7 +1,7 @@
 // Each proof must be seen to fail: with one mechanism switched off the same
 // scenarios break a promise, with it they hold.
 #include "drumlanding/base/invariant.h"
-#include "world.h"
+#include "simulated-cluster.h"
 
 #include <cstdio>
 #include <functional>
@@ -21,16 +21,16 @@
 }
 
 /// Runs a scenario under many seeds; returns how many broke a promise.
-int countBroken(const WorldOptions &options,
-                const std::function<void(World &)> &scenario,
+int countBroken(const SimulatedClusterOptions &options,
+                const std::function<void(SimulatedCluster &)> &scenario,
                 std::string *example = nullptr) {
   constexpr int Runs = 40;
   int broken = 0;
   for (int i = 1; i <= Runs; ++i) {
-    WorldOptions seeded = options;
+    SimulatedClusterOptions seeded = options;
     seeded.Seed = static_cast<std::uint64_t>(i);
     const std::uint64_t before = allInvariantFailures();
-    World world(seeded);
+    SimulatedCluster world(seeded);
     scenario(world);
     world.settle();
     std::string wrong = world.check();
@@ -44,15 +44,15 @@
 }
 
 /// Expects the scenario to break without the mechanism and to hold with it.
-void expectNeeded(const char *name, const WorldOptions &without,
-                  const std::function<void(World &)> &scenario) {
+void expectNeeded(const char *name, const SimulatedClusterOptions &without,
+                  const std::function<void(SimulatedCluster &)> &scenario) {
   base::setInvariantsFatal(false);
   std::string example;
   const int broken = countBroken(without, scenario, &example);
   base::setInvariantsFatal(true);
-  WorldOptions with = without;
-  with.AgentOn = {};
-  with.EntryOn = {};
+  SimulatedClusterOptions with = without;
+  with.AgentMechanisms = {};
+  with.EntryMechanisms = {};
   const int brokenWith = countBroken(with, scenario);
   std::printf("%s: off %d of 40 broken (%.90s), on %d\n", name, broken,
               example.c_str(), brokenWith);
@@ -61,34 +61,34 @@
 }
 
 TEST(Mechanism, RememberRequests) {
-  WorldOptions off;
-  off.AgentOn.RememberRequests = false;
-  expectNeeded("remember requests", off, [](World &w) {
-    w.askCall(0, true);
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.RememberRequests = false;
+  expectNeeded("remember requests", off, [](SimulatedCluster &w) {
+    w.requestCall(0, true);
     w.run(4s);
   });
 }
 
-TEST(Mechanism, LeaveTombstones) {
-  WorldOptions off;
-  off.AgentOn.LeaveTombstones = false;
+TEST(Mechanism, RecordTombstones) {
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.RecordTombstones = false;
   // The Start is lost, the entry asks and hears "not run"; a copy comes late.
-  expectNeeded("leave tombstones", off, [](World &w) {
+  expectNeeded("leave tombstones", off, [](SimulatedCluster &w) {
     w.injectAt(Step::CallRequest, Fault::LateArrival);
-    w.askCall(0, false);
+    w.requestCall(0, false);
     w.run(20s);
   });
 }
 
 TEST(Mechanism, CheckIncarnation) {
-  WorldOptions off;
-  off.AgentOn.CheckIncarnation = false;
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.CheckIncarnation = false;
   // A copy of a Start reaches the agent's next incarnation while the entry
   // that follows the stream is frozen.
-  expectNeeded("check incarnation", off, [](World &w) {
-    w.endless(true);
+  expectNeeded("check incarnation", off, [](SimulatedCluster &w) {
+    w.setEndless(true);
     w.injectAt(Step::StartRequest, Fault::LateCopy);
-    w.askGeneration(0);
+    w.requestGeneration(0);
     w.run(600ms);
     w.inject(Fault::FreezeEntry, 0, 0);
     w.inject(Fault::RestartAgent, 0, 0);
@@ -98,11 +98,11 @@
 }
 
 TEST(Mechanism, CheckKeyTime) {
-  WorldOptions off;
-  off.AgentOn.CheckKeyTime = false;
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.CheckKeyTime = false;
   // The agent forgets in a restart what it ran; the caller sends again.
-  expectNeeded("check key time", off, [](World &w) {
-    w.askCall(0, true);
+  expectNeeded("check key time", off, [](SimulatedCluster &w) {
+    w.requestCall(0, true);
     w.run(50ms);
     w.inject(Fault::RestartAgent, 0, 2);
     w.inject(Fault::RestartAgent, 0, 3);
@@ -111,48 +111,48 @@
 }
 
 TEST(Mechanism, CancelOrphans) {
-  WorldOptions off;
-  off.AgentOn.CancelOrphans = false;
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.CancelOrphans = false;
   off.EngineCapacity = 200'000;
   // Its only follower dies before the caller knows the stream's id.
-  expectNeeded("cancel orphans", off, [](World &w) {
-    w.endless(true);
+  expectNeeded("cancel orphans", off, [](SimulatedCluster &w) {
+    w.setEndless(true);
     w.injectAt(Step::EngineStart, Fault::KillEntry);
-    w.askGeneration(0);
+    w.requestGeneration(0);
     w.run(3s);
   });
 }
 
 TEST(Mechanism, RefuseWhenLeaving) {
-  WorldOptions off;
-  off.AgentOn.RefuseWhenLeaving = false;
+  SimulatedClusterOptions off;
+  off.AgentMechanisms.RefuseWhenLeaving = false;
   // An entry that has not heard of it yet still sends work.
-  expectNeeded("refuse when leaving", off, [](World &w) {
-    w.orderLeave(0);
+  expectNeeded("refuse when leaving", off, [](SimulatedCluster &w) {
+    w.requestLeave(0);
     for (int i = 0; i < 10; ++i)
-      w.askGeneration(0);
+      w.requestGeneration(0);
     w.run(10s);
   });
 }
 
 TEST(Mechanism, AskAfterLostReplies) {
-  WorldOptions off;
-  off.EntryOn.AskAfterLostReplies = false;
-  expectNeeded("ask after lost replies", off, [](World &w) {
+  SimulatedClusterOptions off;
+  off.EntryMechanisms.AskAfterLostReplies = false;
+  expectNeeded("ask after lost replies", off, [](SimulatedCluster &w) {
     w.injectAt(Step::CallReply, Fault::Lose);
-    w.askCall(0, false);
+    w.requestCall(0, false);
     w.run(20s);
   });
 }
 
 TEST(Mechanism, DropRepeatedTokens) {
-  WorldOptions off;
-  off.EntryOn.DropRepeatedTokens = false;
-  expectNeeded("drop repeated tokens", off, [](World &w) {
+  SimulatedClusterOptions off;
+  off.EntryMechanisms.DropRepeatedTokens = false;
+  expectNeeded("drop repeated tokens", off, [](SimulatedCluster &w) {
     // Each new stream sends a poll, while the replies to earlier ones are
     // on their way with the same tokens.
     for (int i = 0; i < 30; ++i) {
-      w.askGeneration(0);
+      w.requestGeneration(0);
       w.run(7ms);
     }
     w.run(10s);
@@ -161,16 +161,16 @@
 
 /// Attempts for each request when the engines refuse three starts in ten.
 double attemptsPerRequest(bool limited) {
-  WorldOptions options;
-  options.RefusePart = 0.3;
+  SimulatedClusterOptions options;
+  options.RefusalRate = 0.3;
   // Room for all, so that no request still waits when the test ends.
   options.EngineCapacity = 200'000;
-  options.EntryOn.LimitRetries = limited;
-  World world(options);
+  options.EntryMechanisms.LimitRetries = limited;
+  SimulatedCluster world(options);
   constexpr int Requests = 1'500;
   const std::size_t before = world.attempts();
   for (int i = 0; i < Requests; ++i) {
-    world.askGeneration(static_cast<std::size_t>(i % 2));
+    world.requestGeneration(static_cast<std::size_t>(i % 2));
     world.run(20ms);
   }
   world.settle();
@@ -190,15 +190,15 @@
 /// Seconds until a bundle is everywhere when the key-value service goes down
 /// right after one entry has read it; 30 when it never is.
 double spreadTime(bool spreads) {
-  WorldOptions options;
-  options.EntryOn.SpreadDocuments = spreads;
-  World world(options);
+  SimulatedClusterOptions options;
+  options.EntryMechanisms.SpreadDocuments = spreads;
+  SimulatedCluster world(options);
   if (!spreads)
     return 30;
   world.rollOut(2);
   while (world.bundleOfEntry(0) != 2)
     world.run(10ms);
-  world.setKvDown(true);
+  world.setStoreDown(true);
   double seconds = 0;
   const auto isEverywhere = [&] {
     bool all = world.bundleOfEntry(1) == 2;
@@ -218,9 +218,9 @@
   std::printf("spread documents: everywhere after %.2f s\n", on);
   EXPECT_LT(on, 3);
   // Without it only the entry that watches ever gets a bundle.
-  WorldOptions off;
-  off.EntryOn.SpreadDocuments = false;
-  World world(off);
+  SimulatedClusterOptions off;
+  off.EntryMechanisms.SpreadDocuments = false;
+  SimulatedCluster world(off);
   world.run(30s);
   EXPECT_EQ(world.bundleOfEntry(0), 1U);
   EXPECT_EQ(world.bundleOfEntry(1), 0U);
--- a/test/promise-test.cc
+++ b/test/promise-test.cc
@@ -1,6 +1,6 @@
 // Promises that are about time and order rather than about a single message.
 #include "drumlanding/entry/limits.h"
-#include "world.h"
+#include "simulated-cluster.h"
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -12,38 +12,38 @@
 
 TEST(Leaving, NoNewWorkWithinThreeSecondsAndNothingCutOff) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    WorldOptions options;
+    SimulatedClusterOptions options;
     options.Seed = seed;
-    World world(options);
+    SimulatedCluster world(options);
     for (int i = 0; i < 10; ++i)
-      world.askGeneration(static_cast<std::size_t>(i % 2));
+      world.requestGeneration(static_cast<std::size_t>(i % 2));
     world.run(100ms);
-    world.leaveAgent(0);
+    world.listAgentLeaving(0);
     world.run(3s);
     const int startsThen = world.startsOn(0);
     for (int i = 0; i < 20; ++i) {
-      world.askGeneration(static_cast<std::size_t>(i % 2));
+      world.requestGeneration(static_cast<std::size_t>(i % 2));
       world.run(100ms);
     }
     EXPECT_EQ(world.startsOn(0), startsThen);
     world.settle();
     EXPECT_EQ(world.check(), "");
-    EXPECT_EQ(world.wholeAnswers(), world.requests());
+    EXPECT_EQ(world.completeAnswers(), world.requests());
   }
 }
 
 TEST(Leaving, EveryServerInTurnWhileCallersKeepComing) {
-  WorldOptions options;
+  SimulatedClusterOptions options;
   options.Engines = 3;
-  World world(options);
+  SimulatedCluster world(options);
   for (std::size_t agent = 0; agent < 3; ++agent) {
     for (int i = 0; i < 10; ++i) {
-      world.askGeneration(static_cast<std::size_t>(i % 2));
+      world.requestGeneration(static_cast<std::size_t>(i % 2));
       world.run(50ms);
     }
-    world.leaveAgent(agent);
+    world.listAgentLeaving(agent);
     for (int i = 0; i < 10; ++i) {
-      world.askGeneration(static_cast<std::size_t>(i % 2));
+      world.requestGeneration(static_cast<std::size_t>(i % 2));
       world.run(50ms);
     }
     while (world.runningOn(agent) > 0)
@@ -53,16 +53,16 @@
   }
   world.settle();
   EXPECT_EQ(world.check(), "");
-  EXPECT_EQ(world.wholeAnswers(), world.requests());
+  EXPECT_EQ(world.completeAnswers(), world.requests());
 }
 
 TEST(Leaving, ReclaimGivesTheTrueVerdictAtOnce) {
-  WorldOptions options;
+  SimulatedClusterOptions options;
   options.Engines = 1;
-  World world(options);
-  world.endless(true);
+  SimulatedCluster world(options);
+  world.setEndless(true);
   for (int i = 0; i < 5; ++i)
-    world.askGeneration(0);
+    world.requestGeneration(0);
   world.run(500ms);
   world.inject(Fault::Reclaim, 0, 0);
   world.run(1500ms);
@@ -71,54 +71,54 @@
 }
 
 TEST(Streams, StalledLinkIsNoDeadServer) {
-  World world({});
+  SimulatedCluster world({});
   for (int i = 0; i < 6; ++i)
-    world.askGeneration(0);
+    world.requestGeneration(0);
   world.run(100ms);
   world.inject(Fault::CutToEntry, 0, 0);
   world.inject(Fault::CutToAgent, 0, 1);
   world.run(200ms);
   world.settle();
   EXPECT_EQ(world.check(), "");
-  EXPECT_EQ(world.wholeAnswers(), world.requests());
+  EXPECT_EQ(world.completeAnswers(), world.requests());
 }
 
 TEST(Streams, KilledEntryIsResumedThroughAnother) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    WorldOptions options;
+    SimulatedClusterOptions options;
     options.Seed = seed;
-    World world(options);
-    world.askGeneration(0);
+    SimulatedCluster world(options);
+    world.requestGeneration(0);
     world.run(200ms);
     world.inject(Fault::KillEntry, 0, 0);
     world.settle();
     EXPECT_EQ(world.check(), "");
-    EXPECT_EQ(world.wholeAnswers(), 1U);
+    EXPECT_EQ(world.completeAnswers(), 1U);
   }
 }
 
 TEST(Streams, TheNewestOfTwoConnectionsGetsTheStream) {
   // The reply to the first resume comes after that to the second.
-  WorldOptions options;
+  SimulatedClusterOptions options;
   options.Entries = 1;
-  World world(options);
-  world.endless(true);
-  world.askGeneration(0);
+  SimulatedCluster world(options);
+  world.setEndless(true);
+  world.requestGeneration(0);
   world.run(300ms);
   world.injectAt(Step::AttachReply, Fault::Reorder);
-  world.dropCaller(false);
+  world.disconnectCaller(false);
   world.run(10ms);
-  world.dropCaller(false);
+  world.disconnectCaller(false);
   world.run(100s);
   EXPECT_EQ(world.check(), "");
-  EXPECT_EQ(world.wholeAnswers(), 1U);
+  EXPECT_EQ(world.completeAnswers(), 1U);
 }
 
 TEST(Bundle, StalePeerAndRestartsDuringAnOutageNeverGoBack) {
-  World world({});
+  SimulatedCluster world({});
   world.rollOut(2);
   world.run(4s);
-  world.setKvDown(true);
+  world.setStoreDown(true);
   // The one entry that reads the service restarts and learns from its peers.
   world.inject(Fault::KillEntry, 0, 0);
   world.inject(Fault::RestartAgent, 0, 0);
@@ -127,7 +127,7 @@
   EXPECT_EQ(world.bundleOfAgent(0), 2U);
   // The service comes back with an older state than the peers know.
   world.rollOut(1);
-  world.setKvDown(false);
+  world.setStoreDown(false);
   world.run(5s);
   for (std::size_t i = 0; i < 2; ++i)
     EXPECT_EQ(world.bundleOfEntry(i), 2U);
@@ -144,17 +144,17 @@
 }
 
 TEST(Members, AnEmptyListIsNotBelievedAgainstDirectReports) {
-  World world({});
-  world.askGeneration(0);
+  SimulatedCluster world({});
+  world.requestGeneration(0);
   world.run(100ms);
-  world.emptyList();
-  world.askGeneration(0);
-  world.askGeneration(1);
+  world.clearServerList();
+  world.requestGeneration(0);
+  world.requestGeneration(1);
   world.run(60s);
-  world.askGeneration(0);
+  world.requestGeneration(0);
   world.settle();
   EXPECT_EQ(world.check(), "");
-  EXPECT_EQ(world.wholeAnswers(), world.requests());
+  EXPECT_EQ(world.completeAnswers(), world.requests());
 }
 
 TEST(Orders, AnOlderPlanGivesNone) {
--- a/test/random-test.cc
+++ b/test/random-test.cc
@@ -3,7 +3,7 @@
 //
 // DRUMLANDING_RANDOM_RUNS sets how many (2,000 in CI); RC_PARAMS overrides the
 // seed, which is printed.
-#include "world.h"
+#include "simulated-cluster.h"
 
 #include <cstdio>
 #include <cstdlib>
@@ -17,7 +17,14 @@
 constexpr const char *DefaultRuns = "2000";
 constexpr const char *Seed = "20261202";
 
-enum class ActionKind { Generation, Call, RepeatedCall, Cancel, Drop, Strike };
+enum class ActionKind {
+  Generation,
+  Call,
+  RepeatedCall,
+  Cancel,
+  Disconnect,
+  Inject
+};
 
 struct Action {
   ActionKind Kind = ActionKind::Generation;
@@ -31,7 +38,7 @@
   constexpr const char *Names[] = {"generation", "call", "repeated call",
                                    "cancel",     "drop", "strike"};
   out << Names[static_cast<int>(a.Kind)];
-  if (a.Kind == ActionKind::Strike)
+  if (a.Kind == ActionKind::Inject)
     out << " " << toString(a.TheFault);
   return out << " entry=" << a.Entry << " agent=" << a.Agent << " then "
              << a.WaitMs << " ms";
@@ -43,8 +50,8 @@
                                             {2, ActionKind::Call},
                                             {3, ActionKind::RepeatedCall},
                                             {1, ActionKind::Cancel},
-                                            {2, ActionKind::Drop},
-                                            {4, ActionKind::Strike}});
+                                            {2, ActionKind::Disconnect},
+                                            {4, ActionKind::Inject}});
   // Faults of a single message come from the lossy network instead.
   const auto fault = rc::gen::element(
       Fault::KillEntry, Fault::RestartAgent, Fault::KillEngine,
@@ -57,33 +64,33 @@
       rc::gen::set(&Action::WaitMs, rc::gen::inRange(0, 1'500)));
 }
 
-void perform(World &world, const Action &action) {
+void applyAction(SimulatedCluster &cluster, const Action &action) {
   const auto entry = static_cast<std::size_t>(action.Entry);
   switch (action.Kind) {
   case ActionKind::Generation:
-    world.askGeneration(entry);
+    cluster.requestGeneration(entry);
     break;
   case ActionKind::Call:
-    world.askCall(entry, false);
+    cluster.requestCall(entry, false);
     break;
   case ActionKind::RepeatedCall:
-    world.askCall(entry, true);
+    cluster.requestCall(entry, true);
     break;
   case ActionKind::Cancel:
-    world.cancelOne(entry);
+    cluster.cancelGeneration(entry);
     break;
-  case ActionKind::Drop:
-    world.dropCaller();
+  case ActionKind::Disconnect:
+    cluster.disconnectCaller();
     break;
-  case ActionKind::Strike:
-    world.inject(action.TheFault, entry,
-                 static_cast<std::size_t>(action.Agent));
+  case ActionKind::Inject:
+    cluster.inject(action.TheFault, entry,
+                   static_cast<std::size_t>(action.Agent));
     break;
   }
-  world.run(base::milliseconds(action.WaitMs));
+  cluster.run(base::milliseconds(action.WaitMs));
 }
 
-TEST(Random, PromisesHoldUnderAnything) {
+TEST(Random, GuaranteesHoldUnderRandomFaults) {
   const char *runs = std::getenv("DRUMLANDING_RANDOM_RUNS");
   std::ostringstream params;
   params << "seed=" << Seed << " max_success=" << (runs ? runs : DefaultRuns)
@@ -91,25 +98,25 @@
   setenv("RC_PARAMS", params.str().c_str(), 0);
   std::printf("random runs: %s\n", std::getenv("RC_PARAMS"));
   std::size_t requests = 0;
-  std::size_t whole = 0;
+  std::size_t completeCount = 0;
   const bool held = rc::check([&] {
     const auto actions = *rc::gen::container<std::vector<Action>>(anyAction());
-    WorldOptions options;
+    SimulatedClusterOptions options;
     options.Seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
-    options.LosePart = *rc::gen::element(0.0, 0.02, 0.1);
-    options.DoublePart = *rc::gen::element(0.0, 0.05);
-    World world(options);
+    options.LossRate = *rc::gen::element(0.0, 0.02, 0.1);
+    options.DuplicationRate = *rc::gen::element(0.0, 0.05);
+    SimulatedCluster cluster(options);
     for (const Action &action : actions)
-      perform(world, action);
-    world.settle();
-    requests += world.requests();
-    whole += world.wholeAnswers();
-    RC_ASSERT(world.check() == std::string());
+      applyAction(cluster, action);
+    cluster.settle();
+    requests += cluster.requests();
+    completeCount += cluster.completeAnswers();
+    RC_ASSERT(cluster.check() == std::string());
   });
   std::printf("random runs: %zu requests, %zu whole answers\n", requests,
-              whole);
+              completeCount);
   EXPECT_TRUE(held);
-  EXPECT_GT(whole * 2, requests);
+  EXPECT_GT(completeCount * 2, requests);
 }
 
 } // namespace
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -20,46 +20,46 @@
   return s;
 }
 
-TEST(Lengths, LearnsAndFollowsADrift) {
+TEST(Lengths, AdaptsToLengthDrift) {
   LengthModel lengths;
   const LengthClass cls = lengthClass("o", "m");
   for (int i = 0; i < 500; ++i) {
-    lengths.passed(cls, 0, 100);
-    lengths.ended(cls, 100);
+    lengths.recordProgress(cls, 0, 100);
+    lengths.recordEnd(cls, 100);
   }
   EXPECT_LT(lengths.survival(cls, 0, 400), 0.1);
   EXPECT_NEAR(lengths.expectedRemaining(cls, 0, 20'000), 100, 40);
   for (int i = 0; i < 500; ++i) {
-    lengths.passed(cls, 0, 800);
-    lengths.ended(cls, 800);
+    lengths.recordProgress(cls, 0, 800);
+    lengths.recordEnd(cls, 800);
   }
   EXPECT_GT(lengths.survival(cls, 0, 400), 0.6);
 }
 
-TEST(Lengths, RunningOnesCountBeforeAnyEnds) {
+TEST(Lengths, RunningGenerationsCountBeforeTheyEnd) {
   // All that ended were short; but many are running far beyond.
   LengthModel lengths;
   const LengthClass cls = lengthClass("o", "m");
   for (int i = 0; i < 300; ++i) {
-    lengths.passed(cls, 0, 50);
-    lengths.ended(cls, 50);
+    lengths.recordProgress(cls, 0, 50);
+    lengths.recordEnd(cls, 50);
   }
   const double before = lengths.survival(cls, 0, 1'000);
   for (int i = 0; i < 300; ++i)
-    lengths.passed(cls, 0, 2'000);
+    lengths.recordProgress(cls, 0, 2'000);
   EXPECT_GT(lengths.survival(cls, 0, 1'000), before * 3);
 }
 
-TEST(Lengths, UnknownClassUsesWhatTheOthersShow) {
+TEST(Lengths, UnknownClassUsesEstimateOfAllClasses) {
   LengthModel lengths;
   for (int i = 0; i < 1'000; ++i) {
-    lengths.passed(1, 0, 20);
-    lengths.ended(1, 20);
+    lengths.recordProgress(1, 0, 20);
+    lengths.recordEnd(1, 20);
   }
   EXPECT_LT(lengths.survival(2, 0, 200), 0.15);
 }
 
-TEST(Scheduler, MemoryFullInMidDecodeMakesOneYieldAndComeBack) {
+TEST(Scheduler, FullKvCacheYieldsOneGenerationAndResumesIt) {
   SchedulerOptions options;
   options.CapacityTokens = 1'000;
   options.Rule = AdmissionRule::Reserve;
@@ -69,22 +69,22 @@
   s.add(now, 1, spec("a"));
   s.add(now, 2, spec("b"));
   std::vector<JobId> started = s.decide(now).Start;
-  s.produced(now, started.at(0), 1);
+  s.recordTokens(now, started.at(0), 1);
   for (JobId id : s.decide(now).Start)
     started.push_back(id);
   ASSERT_EQ(started.size(), 2U);
-  s.produced(now, started.at(1), 1);
+  s.recordTokens(now, started.at(1), 1);
   // Both go on until the memory is full.
   std::vector<JobId> yielded;
   for (int i = 0; i < 2'000 && yielded.empty(); ++i) {
-    s.produced(now, 1, 1);
-    s.produced(now, 2, 1);
+    s.recordTokens(now, 1, 1);
+    s.recordTokens(now, 2, 1);
     yielded = s.decide(now).Yield;
     EXPECT_LE(s.load().UsedTokens, 1'000U);
   }
   ASSERT_EQ(yielded.size(), 1U);
   const JobId victim = yielded[0];
-  s.yielded(now, victim);
+  s.recordYielded(now, victim);
   EXPECT_TRUE(s.decide(now).Start.empty());
   // What yielded goes before new work.
   s.add(now, 3, spec("c"));
@@ -92,10 +92,10 @@
   const Decisions back = s.decide(now);
   ASSERT_FALSE(back.Start.empty());
   EXPECT_EQ(back.Start[0], victim);
-  EXPECT_EQ(s.yieldsOf(victim), 1U);
+  EXPECT_EQ(s.yieldCount(victim), 1U);
 }
 
-TEST(Scheduler, PrefillIsPaced) {
+TEST(Scheduler, LimitsPrefillPerStep) {
   SchedulerOptions options;
   Scheduler s(options);
   const base::Instant now(1h);
@@ -105,11 +105,11 @@
   const auto first = s.decide(now).Start;
   EXPECT_EQ(first.size(), 1U);
   EXPECT_TRUE(s.decide(now).Start.empty());
-  s.produced(now, first[0], 1);
+  s.recordTokens(now, first[0], 1);
   EXPECT_EQ(s.decide(now).Start.size(), 1U);
 }
 
-TEST(Scheduler, ABurstDoesNotGoBeforeTheOthers) {
+TEST(Scheduler, BurstDoesNotDelayOtherOrganisations) {
   SchedulerOptions options;
   options.StepTarget = base::milliseconds(0);
   Scheduler s(options);
@@ -118,7 +118,7 @@
     s.add(now, id, spec("large"));
   const auto first = s.decide(now).Start;
   for (JobId id : first)
-    s.produced(now, id, 50);
+    s.recordTokens(now, id, 50);
   s.add(now, 5'000, spec("small"));
   for (std::size_t i = 0; i < first.size() / 2; ++i)
     s.remove(now, first[i], true);
@@ -128,7 +128,7 @@
   EXPECT_EQ(next[0], 5'000U);
 }
 
-TEST(Router, StaysWithThePrefixUntilItIsBusy) {
+TEST(Router, PrefersPrefixServerUntilItIsLoaded) {
   const entry::Router router({});
   base::Random random(1);
   const base::Instant now(1h);
@@ -142,7 +142,7 @@
   EXPECT_NE(router.choose(views, query, now, random), affine);
 }
 
-TEST(Router, NoHerdOntoTheNewestReport) {
+TEST(Router, DoesNotHerdOntoLeastLoadedServer) {
   const entry::Router router({});
   base::Random random(1);
   const base::Instant now(1h);
@@ -160,7 +160,7 @@
   EXPECT_LT(got[3], 130);
 }
 
-TEST(Router, UnusableServersGetNothing) {
+TEST(Router, NeverChoosesUnusableServers) {
   const entry::Router router({});
   base::Random random(1);
   const base::Instant now(1h);
@@ -192,7 +192,7 @@
   }
 }
 
-TEST(Policy, WeightsOfTheContractMoveTheRightFigures) {
+TEST(Policy, HigherStallWeightReducesStalls) {
   tools::PolicyOptions o;
   o.Lengths = tools::LengthSource::Pwani;
   o.Load = 1.2;
--- a/test/world.cc
+++ b/test/simulated-cluster.cc
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "simulated-cluster.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -11,20 +11,20 @@
 using base::milliseconds;
 using base::Verdict;
 
-constexpr Duration TickEvery = 10ms;
-constexpr Duration TokenEvery = 20ms;
-constexpr Duration LinkTime = 1ms;
-constexpr Duration FreezeTime = 7s;
-constexpr Duration CutTime = 4s;
+constexpr Duration TickInterval = 10ms;
+constexpr Duration TokenInterval = 20ms;
+constexpr Duration MinLinkDelay = 1ms;
+constexpr Duration FreezeDuration = 7s;
+constexpr Duration PartitionDuration = 4s;
 constexpr Duration LongDelay = 3s;
-constexpr Duration LateTime = 9s;
-constexpr Duration CopyTime = 3s;
-constexpr Duration RestartTime = 300ms;
-constexpr Duration KvOutageTime = 20s;
-constexpr Duration ResumeTime = 150ms;
-constexpr Duration SettleTime = 60s;
+constexpr Duration LateArrivalDelay = 9s;
+constexpr Duration LateCopyDelay = 3s;
+constexpr Duration RestartDelay = 300ms;
+constexpr Duration StoreOutageDuration = 20s;
+constexpr Duration ResumeDelay = 150ms;
+constexpr Duration SettleDuration = 60s;
 /// A resume is tried this often before the caller takes it for lost.
-constexpr int MostResumes = 30;
+constexpr int MaxResumes = 30;
 
 Step stepOf(const wire::Request &r) {
   switch (r.body_case()) {
@@ -79,49 +79,49 @@
 }
 
 /// A caller and what it was told.
-struct World::Caller {
+struct SimulatedCluster::Caller {
   std::string Marker;
   std::string Credential = Credential1;
   bool IsCall = false;
   bool IsCancel = false;
   /// Of a call: sent twice, so a "not run" speaks only for itself.
-  bool IsRepeat = false;
+  bool IsRepeated = false;
   std::string Key;
   base::WallTime KeyTime{};
   std::size_t Entry = 0;
   entry::SessionId Session = 0;
   std::string RequestId;
   std::string Seed;
-  std::uint32_t Next = 0;
+  std::uint32_t NextIndex = 0;
   int Resumes = 0;
   bool IsOver = false;
-  bool IsWhole = false;
-  bool WasCut = false;
+  bool IsComplete = false;
+  bool WasDisconnected = false;
   std::optional<base::Refusal> Refused;
 };
 
-struct World::EntryNode {
+struct SimulatedCluster::EntryNode {
   std::unique_ptr<entry::Core> Core;
   /// Counts its lives: what was meant for an earlier one is dropped.
-  std::uint64_t Life = 0;
+  std::uint64_t Instance = 0;
   bool IsAlive = false;
   bool IsFrozen = false;
   std::vector<std::function<void()>> Backlog;
   milliseconds Skew{0};
 };
 
-struct World::FakeStream {
+struct SimulatedCluster::FakeStream {
   wire::Start Start;
   std::string Seed;
   std::uint32_t Produced = 0;
   std::uint32_t Length = 0;
   bool IsRunning = false;
-  std::uint64_t Generation = 0;
+  std::uint64_t Epoch = 0;
 };
 
-struct World::AgentNode {
+struct SimulatedCluster::AgentNode {
   std::unique_ptr<agent::Core> Core;
-  std::uint64_t Life = 0;
+  std::uint64_t Instance = 0;
   bool IsAlive = false;
   bool IsFrozen = false;
   bool IsEngine = false;
@@ -135,18 +135,19 @@
   milliseconds Skew{0};
   std::string Name;
   std::map<std::string, FakeStream> Streams;
-  std::uint64_t NextGeneration = 0;
+  std::uint64_t NextEpoch = 0;
   std::uint64_t NextReply = 1;
-  struct Waiting {
+  struct PendingReply {
     std::size_t Entry = 0;
-    std::uint64_t EntryLife = 0;
+    std::uint64_t EntryInstance = 0;
     entry::MessageId Message = 0;
     Step RequestStep = Step::SyncRequest;
   };
-  std::map<agent::ReplyId, Waiting> Replies;
+  std::map<agent::ReplyId, PendingReply> Replies;
 };
 
-World::World(WorldOptions options) : Options(options), Random(options.Seed) {
+SimulatedCluster::SimulatedCluster(SimulatedClusterOptions options)
+    : Options(options), Random(options.Seed) {
   for (int i = 0; i < Options.Entries; ++i) {
     EntryNodes.push_back(std::make_unique<EntryNode>());
     EntryNodes.back()->Skew = milliseconds(Random.below(1'500));
@@ -169,33 +170,35 @@
   run(8s);
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-void World::at(Duration after, std::function<void()> action) {
-  Queue.emplace(Clock.now().Steady + after, std::move(action));
+void SimulatedCluster::scheduleAfter(Duration after,
+                                     std::function<void()> action) {
+  ScheduledActions.emplace(Clock.now().Steady + after, std::move(action));
 }
 
-base::Now World::nowFor(milliseconds skew) const {
+base::Now SimulatedCluster::skewedNow(milliseconds skew) const {
   base::Now now = Clock.now();
   now.Wall += skew;
   return now;
 }
 
-Duration World::linkDelay() {
-  const auto most = static_cast<std::uint64_t>(Options.MostJitter.count());
-  return LinkTime + milliseconds(Random.below(most + 1));
+Duration SimulatedCluster::linkDelay() {
+  const auto maxJitterMs =
+      static_cast<std::uint64_t>(Options.MaxJitter.count());
+  return MinLinkDelay + milliseconds(Random.below(maxJitterMs + 1));
 }
 
 // Processes.
 
-void World::startEntry(std::size_t i) {
+void SimulatedCluster::startEntry(std::size_t i) {
   EntryNode &node = *EntryNodes[i];
   entry::CoreOptions options;
   options.Name = "entry-" + std::to_string(i + 1);
   options.Place = "hall-a";
   options.Trusted = Keys.trusted();
   options.Seed = Random.next();
-  options.On = Options.EntryOn;
+  options.On = Options.EntryMechanisms;
   options.Count = [this](std::string_view metric, std::string_view,
                          std::string_view, double) {
     if (metric == "drumlanding_attempts_total")
@@ -204,58 +207,59 @@
   node.Core = std::make_unique<entry::Core>(std::move(options));
   node.IsAlive = true;
   node.IsFrozen = false;
-  const std::uint64_t life = ++node.Life;
-  listVms();
-  tickEntry(i, life);
-  readBundle(i, life);
+  const std::uint64_t instance = ++node.Instance;
+  publishServerList();
+  tickEntry(i, instance);
+  readBundle(i, instance);
 }
 
-void World::startAgent(std::size_t i) {
+void SimulatedCluster::startAgent(std::size_t i) {
   AgentNode &node = *AgentNodes[i];
   agent::CoreOptions options;
   options.Server = node.Name;
   options.Service = node.IsEngine ? "tutor-llm" : "lernapp";
   options.Place = "hall-a";
   options.Incarnation = Random.next() | 1;
-  options.StartedAt = nowFor(node.Skew).Wall;
+  options.StartedAt = skewedNow(node.Skew).Wall;
   options.Trusted = Keys.trusted();
   options.Scheduling.CapacityTokens = Options.EngineCapacity;
-  options.On = Options.AgentOn;
+  options.Enabled = Options.AgentMechanisms;
   node.Core = std::make_unique<agent::Core>(std::move(options));
   node.IsAlive = true;
   node.IsFrozen = false;
   node.Replies.clear();
   node.Backlog.clear();
-  const std::uint64_t life = ++node.Life;
+  const std::uint64_t instance = ++node.Instance;
   // As the shell does: streams of an earlier incarnation end.
   node.Streams.clear();
-  tickAgent(i, life);
+  tickAgent(i, instance);
 }
 
-void World::tickEntry(std::size_t i, std::uint64_t life) {
-  if (EntryNodes[i]->Life != life)
+void SimulatedCluster::tickEntry(std::size_t i, std::uint64_t instance) {
+  if (EntryNodes[i]->Instance != instance)
     return;
   if (!EntryNodes[i]->IsFrozen)
-    toEntry(i, life, entry::Tick{});
-  at(TickEvery, [this, i, life] { tickEntry(i, life); });
+    deliverToEntry(i, instance, entry::Tick{});
+  scheduleAfter(TickInterval, [this, i, instance] { tickEntry(i, instance); });
 }
 
-void World::tickAgent(std::size_t i, std::uint64_t life) {
+void SimulatedCluster::tickAgent(std::size_t i, std::uint64_t instance) {
   AgentNode &node = *AgentNodes[i];
-  if (node.Life != life)
+  if (node.Instance != instance)
     return;
   if (!node.IsFrozen) {
-    toAgent(i, life,
-            agent::ServerObserved{node.EngineAlive, Options.EngineCapacity,
-                                  node.IsEngine && node.EngineAlive
-                                      ? allModels()
-                                      : std::vector<plan::LoadedModel>()});
-    toAgent(i, life, agent::Tick{});
+    deliverToAgent(
+        i, instance,
+        agent::ServerObserved{node.EngineAlive, Options.EngineCapacity,
+                              node.IsEngine && node.EngineAlive
+                                  ? allModels()
+                                  : std::vector<plan::LoadedModel>()});
+    deliverToAgent(i, instance, agent::Tick{});
   }
-  at(TickEvery, [this, i, life] { tickAgent(i, life); });
+  scheduleAfter(TickInterval, [this, i, instance] { tickAgent(i, instance); });
 }
 
-void World::listVms() {
+void SimulatedCluster::publishServerList() {
   std::vector<entry::ListedVm> vms;
   for (const auto &node : AgentNodes)
     vms.push_back({node->Name, "agent",
@@ -266,95 +270,100 @@
                    base::Endpoint{"127.0.0.1", 2}, false});
   for (std::size_t i = 0; i < EntryNodes.size(); ++i)
     if (EntryNodes[i]->Core)
-      toEntry(i, EntryNodes[i]->Life, entry::VmsListed{vms});
+      deliverToEntry(i, EntryNodes[i]->Instance, entry::VmsListed{vms});
 }
 
-void World::emptyList() {
+void SimulatedCluster::clearServerList() {
   for (std::size_t i = 0; i < EntryNodes.size(); ++i)
-    toEntry(i, EntryNodes[i]->Life, entry::VmsListed{});
+    deliverToEntry(i, EntryNodes[i]->Instance, entry::VmsListed{});
 }
 
-void World::readBundle(std::size_t i, std::uint64_t life) {
-  if (EntryNodes[i]->Life != life)
+void SimulatedCluster::readBundle(std::size_t i, std::uint64_t instance) {
+  if (EntryNodes[i]->Instance != instance)
     return;
   // Only the first entry watches: the others learn from their peers.
-  if (i == 0 && !KvDown && !KvBundle.empty() &&
-      reach(Step::BundleRead, i, 0) != Fault::Lose)
-    toEntry(i, life, entry::DocumentRead{wire::BUNDLE, KvBundle});
-  at(500ms, [this, i, life] { readBundle(i, life); });
+  if (i == 0 && !IsStoreDown && !StoredBundle.empty() &&
+      recordStep(Step::BundleRead, i, 0) != Fault::Lose)
+    deliverToEntry(i, instance,
+                   entry::DocumentRead{wire::BUNDLE, StoredBundle});
+  scheduleAfter(500ms, [this, i, instance] { readBundle(i, instance); });
 }
 
-void World::rollOut(std::uint64_t version) {
-  KvBundle = Keys.serialised(exampleJson(version));
+void SimulatedCluster::rollOut(std::uint64_t version) {
+  StoredBundle = Keys.serialised(exampleJson(version));
 }
 
-void World::toEntry(std::size_t i, std::uint64_t life, entry::Event event) {
+void SimulatedCluster::deliverToEntry(std::size_t i, std::uint64_t instance,
+                                      entry::Event event) {
   EntryNode &node = *EntryNodes[i];
-  if (node.Life != life || !node.IsAlive)
+  if (node.Instance != instance || !node.IsAlive)
     return;
   if (node.IsFrozen) {
     auto kept = std::make_shared<entry::Event>(std::move(event));
-    node.Backlog.push_back(
-        [this, i, life, kept] { toEntry(i, life, std::move(*kept)); });
+    node.Backlog.push_back([this, i, instance, kept] {
+      deliverToEntry(i, instance, std::move(*kept));
+    });
     return;
   }
   for (entry::Command &command :
-       node.Core->handle(nowFor(node.Skew), std::move(event)))
+       node.Core->handle(skewedNow(node.Skew), std::move(event)))
     execute(i, command);
 }
 
-void World::toAgent(std::size_t i, std::uint64_t life, agent::Event event) {
+void SimulatedCluster::deliverToAgent(std::size_t i, std::uint64_t instance,
+                                      agent::Event event) {
   AgentNode &node = *AgentNodes[i];
-  if (node.Life != life || !node.IsAlive)
+  if (node.Instance != instance || !node.IsAlive)
     return;
   if (node.IsFrozen) {
     auto kept = std::make_shared<agent::Event>(std::move(event));
-    node.Backlog.push_back(
-        [this, i, life, kept] { toAgent(i, life, std::move(*kept)); });
+    node.Backlog.push_back([this, i, instance, kept] {
+      deliverToAgent(i, instance, std::move(*kept));
+    });
     return;
   }
   for (agent::Command &command :
-       node.Core->handle(nowFor(node.Skew), std::move(event)))
+       node.Core->handle(skewedNow(node.Skew), std::move(event)))
     execute(i, command);
 }
 
 // Faults.
 
-int World::reached(Step step) const {
-  const auto it = Reached.find(step);
-  return it == Reached.end() ? 0 : it->second;
+int SimulatedCluster::stepCount(Step step) const {
+  const auto it = StepCounts.find(step);
+  return it == StepCounts.end() ? 0 : it->second;
 }
 
-void World::injectAt(Step step, Fault fault, int nth) {
+void SimulatedCluster::injectAt(Step step, Fault fault, int nth) {
   FaultStep = step;
   PlannedFault = fault;
-  PlannedNth = reached(step) + nth;
-  Injected = false;
+  PlannedNth = stepCount(step) + nth;
+  WasFaultInjected = false;
 }
 
-void World::followWith(Fault fault, Duration after) {
+void SimulatedCluster::scheduleSecondFault(Fault fault, Duration after) {
   SecondFault = fault;
-  SecondAfter = after;
+  SecondFaultDelay = after;
 }
 
-std::optional<Fault> World::reach(Step step, std::size_t entry,
-                                  std::size_t agent) {
-  const int n = ++Reached[step];
-  if (Injected || FaultStep != step || n != PlannedNth)
+std::optional<Fault> SimulatedCluster::recordStep(Step step, std::size_t entry,
+                                                  std::size_t agent) {
+  const int n = ++StepCounts[step];
+  if (WasFaultInjected || FaultStep != step || n != PlannedNth)
     return std::nullopt;
-  Injected = true;
+  WasFaultInjected = true;
   inject(PlannedFault, entry, agent);
   if (SecondFault)
-    at(SecondAfter,
-       [this, entry, agent] { inject(*SecondFault, entry, agent); });
+    scheduleAfter(SecondFaultDelay,
+                  [this, entry, agent] { inject(*SecondFault, entry, agent); });
   return PlannedFault;
 }
 
 /// Stops a process for a while; what it was sent waits, as in its sockets.
-template <typename Node> void World::freeze(Node &node) {
+template <typename Node> void SimulatedCluster::freeze(Node &node) {
   node.IsFrozen = true;
-  at(FreezeTime, [&node, life = node.Life] {
-    if (node.Life != life)
+  scheduleAfter(FreezeDuration, [&node, instance = node.Instance] {
+    if (node.Instance != instance)
       return;
     node.IsFrozen = false;
     for (auto &action : std::exchange(node.Backlog, {}))
@@ -363,29 +372,30 @@
 }
 
 /// Its connections break: callers come back elsewhere.
-void World::killEntry(std::size_t e) {
+void SimulatedCluster::killEntry(std::size_t e) {
   EntryNodes[e]->IsAlive = false;
   for (auto &caller : Callers) {
     if (caller->IsOver || caller->Entry != e)
       continue;
     CallerOfSession.erase(caller->Session);
-    at(ResumeTime, [this, c = caller.get()] { resume(*c); });
+    scheduleAfter(ResumeDelay, [this, c = caller.get()] { resume(*c); });
   }
-  at(RestartTime, [this, e] { startEntry(e); });
+  scheduleAfter(RestartDelay, [this, e] { startEntry(e); });
 }
 
 /// The VM vanishes a second after it was told; another takes its place under
 /// the same name.
-void World::reclaim(std::size_t a) {
-  toAgent(a, AgentNodes[a]->Life, agent::LeaveOrdered{Clock.now().Steady + 1s});
-  at(1s, [this, a] {
+void SimulatedCluster::reclaim(std::size_t a) {
+  deliverToAgent(a, AgentNodes[a]->Instance,
+                 agent::LeaveRequested{Clock.now().Steady + 1s});
+  scheduleAfter(1s, [this, a] {
     killEngine(a);
     AgentNodes[a]->IsAlive = false;
   });
-  at(3s, [this, a] { startAgent(a); });
+  scheduleAfter(3s, [this, a] { startAgent(a); });
 }
 
-void World::inject(Fault fault, std::size_t e, std::size_t a) {
+void SimulatedCluster::inject(Fault fault, std::size_t e, std::size_t a) {
   EntryNode &entryNode = *EntryNodes[e];
   AgentNode &agentNode = *AgentNodes[a];
   // What is dead already cannot be killed again.
@@ -399,7 +409,7 @@
     return;
   case Fault::RestartAgent:
     agentNode.IsAlive = false;
-    at(RestartTime, [this, a] { startAgent(a); });
+    scheduleAfter(RestartDelay, [this, a] { startAgent(a); });
     return;
   case Fault::KillEngine:
     killEngine(a);
@@ -412,18 +422,20 @@
     return;
   case Fault::CutToAgent:
     agentNode.CutToAgent.insert(e);
-    at(CutTime, [this, e, a] { AgentNodes[a]->CutToAgent.erase(e); });
+    scheduleAfter(PartitionDuration,
+                  [this, e, a] { AgentNodes[a]->CutToAgent.erase(e); });
     return;
   case Fault::CutToEntry:
     agentNode.CutToEntry.insert(e);
-    at(CutTime, [this, e, a] { AgentNodes[a]->CutToEntry.erase(e); });
+    scheduleAfter(PartitionDuration,
+                  [this, e, a] { AgentNodes[a]->CutToEntry.erase(e); });
     return;
   case Fault::KvOutage:
-    KvDown = true;
-    at(KvOutageTime, [this] { KvDown = false; });
+    IsStoreDown = true;
+    scheduleAfter(StoreOutageDuration, [this] { IsStoreDown = false; });
     return;
   case Fault::AgentLeaves:
-    leaveAgent(a);
+    listAgentLeaving(a);
     return;
   case Fault::Reclaim:
     reclaim(a);
@@ -438,24 +450,24 @@
   }
 }
 
-void World::leaveAgent(std::size_t a) {
+void SimulatedCluster::listAgentLeaving(std::size_t a) {
   AgentNodes[a]->IsListedLeaving = true;
-  listVms();
+  publishServerList();
 }
 
-void World::orderLeave(std::size_t a) {
-  toAgent(a, AgentNodes[a]->Life, agent::LeaveOrdered{});
+void SimulatedCluster::requestLeave(std::size_t a) {
+  deliverToAgent(a, AgentNodes[a]->Instance, agent::LeaveRequested{});
 }
 
-void World::replaceAgent(std::size_t a) {
+void SimulatedCluster::replaceAgent(std::size_t a) {
   AgentNodes[a]->IsListedLeaving = false;
-  listVms();
+  publishServerList();
   startAgent(a);
 }
 
-void World::killEngine(std::size_t a) {
+void SimulatedCluster::killEngine(std::size_t a) {
   AgentNode &node = *AgentNodes[a];
-  const std::uint64_t life = node.Life;
+  const std::uint64_t instance = node.Instance;
   node.EngineAlive = false;
   std::vector<std::string> ids;
   for (const auto &[id, stream] : node.Streams)
@@ -463,48 +475,51 @@
       ids.push_back(id);
   node.Streams.clear();
   for (const std::string &id : ids)
-    toAgent(a, life, agent::EngineStreamEnded{id, agent::EngineEnd::Lost});
-  at(RestartTime, [this, a] { AgentNodes[a]->EngineAlive = true; });
+    deliverToAgent(
+        a, instance,
+        agent::EngineStreamEnded{id, agent::EngineOutcome::ConnectionLost});
+  scheduleAfter(RestartDelay, [this, a] { AgentNodes[a]->EngineAlive = true; });
 }
 
 // The network.
 
-void World::carry(Step step, std::size_t e, std::size_t a, bool toAgent,
-                  std::function<void()> deliver) {
-  const std::optional<Fault> fault = reach(step, e, a);
+void SimulatedCluster::transmit(Step step, std::size_t e, std::size_t a,
+                                bool isToAgent, std::function<void()> deliver) {
+  const std::optional<Fault> fault = recordStep(step, e, a);
   const AgentNode &node = *AgentNodes[a];
-  const bool isCut =
-      toAgent ? node.CutToAgent.contains(e) : node.CutToEntry.contains(e);
-  const bool isLost =
-      fault == Fault::Lose || fault == Fault::LateArrival || isCut ||
-      (!Healing && Options.LosePart > 0 && Random.chance(Options.LosePart));
+  const bool isPartitioned =
+      isToAgent ? node.CutToAgent.contains(e) : node.CutToEntry.contains(e);
+  const bool isLost = fault == Fault::Lose || fault == Fault::LateArrival ||
+                      isPartitioned ||
+                      (!FaultsDisabled && Options.LossRate > 0 &&
+                       Random.chance(Options.LossRate));
   Duration delay = linkDelay();
   if (fault == Fault::Delay)
     delay = LongDelay;
   if (fault == Fault::Reorder)
     delay = 40ms;
   if (!isLost)
-    at(delay, deliver);
-  const bool isDoubled =
-      fault == Fault::Duplicate ||
-      (!Healing && Options.DoublePart > 0 && Random.chance(Options.DoublePart));
-  if (isDoubled)
-    at(delay + linkDelay(), deliver);
+    scheduleAfter(delay, deliver);
+  const bool isDuplicated = fault == Fault::Duplicate ||
+                            (!FaultsDisabled && Options.DuplicationRate > 0 &&
+                             Random.chance(Options.DuplicationRate));
+  if (isDuplicated)
+    scheduleAfter(delay + linkDelay(), deliver);
   // All is over when it arrives.
   if (fault == Fault::LateArrival)
-    at(LateTime, deliver);
+    scheduleAfter(LateArrivalDelay, deliver);
   if (fault == Fault::LateCopy)
-    at(CopyTime, deliver);
+    scheduleAfter(LateCopyDelay, deliver);
 }
 
-void World::execute(std::size_t i, entry::Command &command) {
+void SimulatedCluster::execute(std::size_t i, entry::Command &command) {
   if (auto *send = std::get_if<entry::SendMessage>(&command)) {
-    const std::uint64_t life = EntryNodes[i]->Life;
+    const std::uint64_t instance = EntryNodes[i]->Instance;
     const entry::MessageId id = send->Message;
-    at(send->Timeout, [this, i, life, id] {
-      toEntry(i, life,
-              entry::ReplyArrived{
-                  id, base::Error{base::ErrorCode::TimedOut, "", ""}});
+    scheduleAfter(send->Timeout, [this, i, instance, id] {
+      deliverToEntry(i, instance,
+                     entry::ReplyArrived{
+                         id, base::Error{base::ErrorCode::TimedOut, "", ""}});
     });
     for (std::size_t a = 0; a < AgentNodes.size(); ++a)
       if (AgentNodes[a]->Name == send->Peer)
@@ -514,44 +529,46 @@
         deliverPeer(i, p, id, send->Request);
     return;
   }
-  onCallersCommand(i, command);
+  handleCallerCommand(i, command);
 }
 
-void World::deliverRequest(std::size_t e, std::size_t a, entry::MessageId id,
-                           const wire::Request &request) {
+void SimulatedCluster::deliverRequest(std::size_t e, std::size_t a,
+                                      entry::MessageId id,
+                                      const wire::Request &request) {
   const Step step = stepOf(request);
-  const std::uint64_t entryLife = EntryNodes[e]->Life;
-  carry(step, e, a, true, [this, e, a, id, request, step, entryLife] {
+  const std::uint64_t entryInstance = EntryNodes[e]->Instance;
+  transmit(step, e, a, true, [this, e, a, id, request, step, entryInstance] {
     AgentNode &node = *AgentNodes[a];
     const agent::ReplyId reply = node.NextReply++;
-    node.Replies[reply] = {e, entryLife, id, step};
-    toAgent(a, node.Life, agent::RequestArrived{reply, request});
+    node.Replies[reply] = {e, entryInstance, id, step};
+    deliverToAgent(a, node.Instance, agent::RequestArrived{reply, request});
   });
 }
 
-void World::deliverPeer(std::size_t from, std::size_t to, entry::MessageId id,
-                        const wire::Request &request) {
+void SimulatedCluster::deliverPeer(std::size_t from, std::size_t to,
+                                   entry::MessageId id,
+                                   const wire::Request &request) {
   // The peer's reply finds its way back by the two numbers.
   const std::uint64_t reply = (static_cast<std::uint64_t>(from) << 48) | id;
-  const std::uint64_t life = EntryNodes[to]->Life;
-  at(linkDelay(), [this, to, life, reply, request] {
-    toEntry(to, life, entry::PeerAsked{reply, request});
+  const std::uint64_t instance = EntryNodes[to]->Instance;
+  scheduleAfter(linkDelay(), [this, to, instance, reply, request] {
+    deliverToEntry(to, instance, entry::PeerAsked{reply, request});
   });
 }
 
-void World::execute(std::size_t a, agent::Command &command) {
+void SimulatedCluster::execute(std::size_t a, agent::Command &command) {
   if (auto *send = std::get_if<agent::SendReply>(&command)) {
     AgentNode &node = *AgentNodes[a];
     const auto it = node.Replies.find(send->Reply);
     if (it == node.Replies.end())
       return;
-    const AgentNode::Waiting waiting = it->second;
+    const AgentNode::PendingReply waiting = it->second;
     node.Replies.erase(it);
-    carry(replyTo(waiting.RequestStep), waiting.Entry, a, false,
-          [this, waiting, message = send->Message] {
-            toEntry(waiting.Entry, waiting.EntryLife,
-                    entry::ReplyArrived{waiting.Message, message});
-          });
+    transmit(replyTo(waiting.RequestStep), waiting.Entry, a, false,
+             [this, waiting, message = send->Message] {
+               deliverToEntry(waiting.Entry, waiting.EntryInstance,
+                              entry::ReplyArrived{waiting.Message, message});
+             });
     return;
   }
   if (auto *start = std::get_if<agent::StartOnEngine>(&command))
@@ -564,25 +581,27 @@
 
 // Engines and services.
 
-void World::startStream(std::size_t a, const agent::StartOnEngine &c) {
+void SimulatedCluster::startStream(std::size_t a,
+                                   const agent::StartOnEngine &c) {
   AgentNode &node = *AgentNodes[a];
-  const std::uint64_t life = node.Life;
-  const auto fault = reach(Step::EngineStart, 0, a);
-  const auto end = [this, a, life, id = c.RequestId](agent::EngineEnd how) {
-    at(1ms, [this, a, life, id, how] {
-      toAgent(a, life, agent::EngineStreamEnded{id, how});
+  const std::uint64_t instance = node.Instance;
+  const auto fault = recordStep(Step::EngineStart, 0, a);
+  const auto end = [this, a, instance,
+                    id = c.RequestId](agent::EngineOutcome how) {
+    scheduleAfter(1ms, [this, a, instance, id, how] {
+      deliverToAgent(a, instance, agent::EngineStreamEnded{id, how});
     });
   };
   if (!node.EngineAlive) {
-    end(agent::EngineEnd::Unreached);
+    end(agent::EngineOutcome::Unreachable);
     return;
   }
   if (c.ResumeFrom > 0 && !node.Streams.contains(c.RequestId)) {
-    end(agent::EngineEnd::Unresumable);
+    end(agent::EngineOutcome::Unresumable);
     return;
   }
-  if (Options.RefusePart > 0 && Random.chance(Options.RefusePart)) {
-    end(agent::EngineEnd::Refused);
+  if (Options.RefusalRate > 0 && Random.chance(Options.RefusalRate)) {
+    end(agent::EngineOutcome::Refused);
     return;
   }
   FakeStream &stream = node.Streams[c.RequestId];
@@ -594,27 +613,28 @@
     if (IsEndless)
       stream.Length = c.Start.max_tokens();
     stream.Length = std::min(stream.Length, c.Start.max_tokens());
-    ++Started[c.Start.prompt()];
+    ++GenerationRuns[c.Start.prompt()];
     ++node.Starts;
   }
   stream.IsRunning = true;
-  stream.Generation = ++node.NextGeneration;
+  stream.Epoch = ++node.NextEpoch;
   // The answer to the start is lost though the engine runs it.
   if (fault == Fault::Lose) {
     node.Streams.erase(c.RequestId);
-    end(agent::EngineEnd::Lost);
+    end(agent::EngineOutcome::ConnectionLost);
     return;
   }
-  at(TokenEvery, [this, a, id = c.RequestId, g = stream.Generation] {
+  scheduleAfter(TokenInterval, [this, a, id = c.RequestId, g = stream.Epoch] {
     stepStream(a, id, g);
   });
 }
 
-void World::stopStream(std::size_t a, const agent::StopOnEngine &c) {
+void SimulatedCluster::stopStream(std::size_t a, const agent::StopOnEngine &c) {
   AgentNode &node = *AgentNodes[a];
-  const auto fault = reach(Step::EngineStop, 0, a);
+  const auto fault = recordStep(Step::EngineStop, 0, a);
   const Duration delay = fault == Fault::Delay ? LongDelay : Duration(5ms);
-  at(delay, [this, a, id = c.RequestId, keep = c.Keep, life = node.Life] {
+  scheduleAfter(delay, [this, a, id = c.RequestId, keep = c.KeepState,
+                        instance = node.Instance] {
     AgentNode &n = *AgentNodes[a];
     const auto it = n.Streams.find(id);
     if (it == n.Streams.end())
@@ -626,55 +646,58 @@
     if (!it->second.IsRunning)
       return;
     it->second.IsRunning = false;
-    toAgent(a, life, agent::EngineStreamEnded{id, agent::EngineEnd::LetGo});
+    deliverToAgent(
+        a, instance,
+        agent::EngineStreamEnded{id, agent::EngineOutcome::Released});
   });
 }
 
-void World::stepStream(std::size_t a, const std::string &id,
-                       std::uint64_t generation) {
+void SimulatedCluster::stepStream(std::size_t a, const std::string &id,
+                                  std::uint64_t epoch) {
   AgentNode &node = *AgentNodes[a];
   const auto it = node.Streams.find(id);
   if (it == node.Streams.end() || !it->second.IsRunning ||
-      it->second.Generation != generation)
+      it->second.Epoch != epoch)
     return;
   FakeStream &stream = it->second;
-  const std::uint64_t life = node.Life;
+  const std::uint64_t instance = node.Instance;
   const std::uint32_t index = stream.Produced++;
   const bool isLast = stream.Produced >= stream.Length;
   const std::string token = stream.Seed + "." + std::to_string(index);
-  const auto fault = reach(Step::EngineToken, 0, a);
+  const auto fault = recordStep(Step::EngineToken, 0, a);
   const agent::TokensArrived arrived{id, index, {token}};
   if (fault != Fault::Lose)
-    toAgent(a, life, arrived);
+    deliverToAgent(a, instance, arrived);
   if (fault == Fault::Duplicate)
-    toAgent(a, life, arrived);
+    deliverToAgent(a, instance, arrived);
   // A fault can have ended the stream.
   const auto again = node.Streams.find(id);
   if (again == node.Streams.end())
     return;
   if (!isLast) {
-    at(TokenEvery,
-       [this, a, id, generation] { stepStream(a, id, generation); });
+    scheduleAfter(TokenInterval,
+                  [this, a, id, epoch] { stepStream(a, id, epoch); });
     return;
   }
   again->second.IsRunning = false;
-  const auto endFault = reach(Step::EngineEnd, 0, a);
-  const auto how = endFault == Fault::Lose ? agent::EngineEnd::Lost
-                                           : agent::EngineEnd::Finished;
-  toAgent(a, life, agent::EngineStreamEnded{id, how});
+  const auto endFault = recordStep(Step::EngineEnd, 0, a);
+  const auto how = endFault == Fault::Lose
+                       ? agent::EngineOutcome::ConnectionLost
+                       : agent::EngineOutcome::Finished;
+  deliverToAgent(a, instance, agent::EngineStreamEnded{id, how});
   node.Streams.erase(id);
 }
 
-void World::callService(std::size_t a, const agent::CallService &c) {
-  const std::uint64_t life = AgentNodes[a]->Life;
-  const auto fault = reach(Step::ServiceCall, 0, a);
-  const auto end = [this, a, life, id = c.RequestId](bool reached,
-                                                     bool answered) {
-    at(10ms, [this, a, life, id, reached, answered] {
-      agent::CallEnded ended{id, reached, answered, {}};
+void SimulatedCluster::callService(std::size_t a, const agent::CallService &c) {
+  const std::uint64_t instance = AgentNodes[a]->Instance;
+  const auto fault = recordStep(Step::ServiceCall, 0, a);
+  const auto end = [this, a, instance, id = c.RequestId](bool stepCount,
+                                                         bool answered) {
+    scheduleAfter(10ms, [this, a, instance, id, stepCount, answered] {
+      agent::CallEnded ended{id, stepCount, answered, {}};
       ended.Reply.set_status(200);
       ended.Reply.set_body(id);
-      toAgent(a, life, ended);
+      deliverToAgent(a, instance, ended);
     });
   };
   if (fault == Fault::Lose || !AgentNodes[a]->EngineAlive) {
@@ -682,40 +705,41 @@
     return;
   }
   ++ServiceRuns[c.Call.body()];
-  const auto answerFault = reach(Step::ServiceAnswer, 0, a);
+  const auto answerFault = recordStep(Step::ServiceAnswer, 0, a);
   end(true, answerFault != Fault::Lose);
 }
 
 // Callers.
 
-void World::askGeneration(std::size_t e) {
+void SimulatedCluster::requestGeneration(std::size_t e) {
   auto caller = std::make_unique<Caller>();
   caller->Marker = "g" + std::to_string(Callers.size());
   Callers.push_back(std::move(caller));
-  sendCaller(*Callers.back(), e);
+  sendRequest(*Callers.back(), e);
 }
 
-void World::askCall(std::size_t e, bool repeats) {
+void SimulatedCluster::requestCall(std::size_t e, bool repeats) {
   auto caller = std::make_unique<Caller>();
   caller->Marker = "c" + std::to_string(Callers.size());
   caller->IsCall = true;
-  caller->IsRepeat = repeats;
+  caller->IsRepeated = repeats;
   caller->Key = caller->Marker;
   caller->KeyTime = Clock.now().Wall;
   Callers.push_back(std::move(caller));
   Caller &first = *Callers.back();
-  sendCaller(first, e);
+  sendRequest(first, e);
   if (!repeats)
     return;
   auto copy = std::make_unique<Caller>(first);
   copy->IsOver = false;
   Callers.push_back(std::move(copy));
-  at(milliseconds(Random.below(3'000)), [this, c = Callers.back().get(), e] {
-    sendCaller(*c, (e + 1) % EntryNodes.size());
-  });
+  scheduleAfter(milliseconds(Random.below(3'000)),
+                [this, c = Callers.back().get(), e] {
+                  sendRequest(*c, (e + 1) % EntryNodes.size());
+                });
 }
 
-void World::cancelOne(std::size_t e) {
+void SimulatedCluster::cancelGeneration(std::size_t e) {
   for (const auto &caller : Callers) {
     if (caller->IsCall || caller->IsOver || caller->RequestId.empty())
       continue;
@@ -724,78 +748,81 @@
     cancel->RequestId = caller->RequestId;
     cancel->Marker = "x";
     Callers.push_back(std::move(cancel));
-    sendCaller(*Callers.back(), e);
+    sendRequest(*Callers.back(), e);
     return;
   }
 }
 
-void World::dropCaller(bool isNoticed) {
+void SimulatedCluster::disconnectCaller(bool isNoticed) {
   for (const auto &caller : Callers) {
     if (caller->IsCall || caller->IsOver || caller->RequestId.empty())
       continue;
     CallerOfSession.erase(caller->Session);
     if (isNoticed)
-      toEntry(caller->Entry, EntryNodes[caller->Entry]->Life,
-              entry::SessionClosed{caller->Session});
+      deliverToEntry(caller->Entry, EntryNodes[caller->Entry]->Instance,
+                     entry::SessionClosed{caller->Session});
     resume(*caller);
     return;
   }
 }
 
-void World::sendCaller(Caller &caller, std::size_t e) {
+void SimulatedCluster::sendRequest(Caller &caller, std::size_t e) {
   caller.Entry = e;
   caller.Session = NextSession++;
   CallerOfSession[caller.Session] = &caller;
-  const std::uint64_t life = EntryNodes[e]->Life;
+  const std::uint64_t instance = EntryNodes[e]->Instance;
   if (!EntryNodes[e]->IsAlive) {
     // Nothing listens: the balancer would have sent it elsewhere.
     caller.IsOver = true;
-    caller.WasCut = true;
+    caller.WasDisconnected = true;
     return;
   }
   if (caller.IsCancel) {
-    toEntry(e, life,
-            entry::CancelAsked{caller.Session, caller.Credential,
-                               caller.RequestId});
+    deliverToEntry(e, instance,
+                   entry::CancelAsked{caller.Session, caller.Credential,
+                                      caller.RequestId});
     return;
   }
   if (caller.IsCall) {
-    toEntry(e, life,
-            entry::CallAsked{caller.Session, caller.Credential, "lernapp",
-                             "POST", "/progress", caller.Marker, false,
-                             caller.Key, caller.KeyTime});
+    deliverToEntry(e, instance,
+                   entry::CallAsked{caller.Session, caller.Credential,
+                                    "lernapp", "POST", "/progress",
+                                    caller.Marker, false, caller.Key,
+                                    caller.KeyTime});
     return;
   }
-  toEntry(e, life,
-          entry::GenerationAsked{caller.Session, caller.Credential, "tutor-llm",
-                                 "", "", caller.Marker, 4'000, true});
+  deliverToEntry(e, instance,
+                 entry::GenerationAsked{caller.Session, caller.Credential,
+                                        "tutor-llm", "", "", caller.Marker,
+                                        4'000, true});
 }
 
-void World::resume(Caller &caller) {
+void SimulatedCluster::resume(Caller &caller) {
   if (caller.IsOver)
     return;
   // Without an id there is nothing to come back for.
   if (caller.IsCall || caller.IsCancel || caller.RequestId.empty() ||
-      ++caller.Resumes > MostResumes) {
+      ++caller.Resumes > MaxResumes) {
     caller.IsOver = true;
-    caller.WasCut = true;
+    caller.WasDisconnected = true;
     return;
   }
   CallerOfSession.erase(caller.Session);
   const std::size_t e = (caller.Entry + 1) % EntryNodes.size();
   caller.Entry = e;
   if (!EntryNodes[e]->IsAlive) {
-    at(ResumeTime, [this, c = &caller] { resume(*c); });
+    scheduleAfter(ResumeDelay, [this, c = &caller] { resume(*c); });
     return;
   }
   caller.Session = NextSession++;
   CallerOfSession[caller.Session] = &caller;
-  toEntry(e, EntryNodes[e]->Life,
-          entry::ResumeAsked{caller.Session, caller.Credential,
-                             caller.RequestId, caller.Next});
+  deliverToEntry(e, EntryNodes[e]->Instance,
+                 entry::ResumeAsked{caller.Session, caller.Credential,
+                                    caller.RequestId, caller.NextIndex});
 }
 
-void World::onCallersCommand(std::size_t e, entry::Command &command) {
+void SimulatedCluster::handleCallerCommand(std::size_t e,
+                                           entry::Command &command) {
   const auto callerOf = [&](entry::SessionId id) -> Caller * {
     const auto it = CallerOfSession.find(id);
     if (it == CallerOfSession.end() || it->second->Entry != e)
@@ -805,10 +832,11 @@
   if (auto *c = std::get_if<entry::ReplyToPeer>(&command)) {
     const auto to = static_cast<std::size_t>(c->Reply >> 48);
     const entry::MessageId id = c->Reply & 0xffff'ffff'ffffULL;
-    at(linkDelay(),
-       [this, to, id, life = EntryNodes[to]->Life, message = c->Message] {
-         toEntry(to, life, entry::ReplyArrived{id, message});
-       });
+    scheduleAfter(linkDelay(), [this, to, id,
+                                instance = EntryNodes[to]->Instance,
+                                message = c->Message] {
+      deliverToEntry(to, instance, entry::ReplyArrived{id, message});
+    });
   } else if (auto *c = std::get_if<entry::BeginStream>(&command)) {
     if (Caller *caller = callerOf(c->Session))
       caller->RequestId = c->RequestId;
@@ -818,28 +846,28 @@
       const std::string &token = c->Tokens[i];
       const std::string seed = token.substr(0, token.find('.'));
       const std::string index = token.substr(token.find('.') + 1);
-      if (c->FirstIndex + i != caller->Next ||
-          index != std::to_string(caller->Next))
-        Trouble += caller->Marker + ": token out of order; ";
+      if (c->FirstIndex + i != caller->NextIndex ||
+          index != std::to_string(caller->NextIndex))
+        Violations += caller->Marker + ": token out of order; ";
       if (!caller->Seed.empty() && caller->Seed != seed)
-        Trouble += caller->Marker + ": two generations mixed; ";
+        Violations += caller->Marker + ": two generations mixed; ";
       caller->Seed = seed;
-      ++caller->Next;
+      ++caller->NextIndex;
     }
   } else if (auto *c = std::get_if<entry::EndStream>(&command)) {
     if (Caller *caller = callerOf(c->Session)) {
       caller->IsOver = true;
-      caller->IsWhole = !c->Failure;
+      caller->IsComplete = !c->Failure;
       caller->Refused = c->Failure;
     }
   } else if (auto *c = std::get_if<entry::RefuseSession>(&command)) {
     Caller *caller = callerOf(c->Session);
-    const bool comesBack = caller && caller->Resumes > 0 &&
-                           (c->Why.Why == base::Reason::NotReady ||
-                            c->Why.Why == base::Reason::NotFound ||
-                            c->Why.Why == base::Reason::BackendServerLost);
-    if (comesBack) {
-      at(500ms, [this, caller] { resume(*caller); });
+    const bool retries = caller && caller->Resumes > 0 &&
+                         (c->Why.Why == base::Reason::NotReady ||
+                          c->Why.Why == base::Reason::NotFound ||
+                          c->Why.Why == base::Reason::BackendServerLost);
+    if (retries) {
+      scheduleAfter(500ms, [this, caller] { resume(*caller); });
     } else if (caller) {
       caller->IsOver = true;
       caller->Refused = c->Why;
@@ -847,85 +875,88 @@
   } else if (auto *c = std::get_if<entry::AnswerSession>(&command)) {
     if (Caller *caller = callerOf(c->Session)) {
       caller->IsOver = true;
-      caller->IsWhole = true;
+      caller->IsComplete = true;
       const std::string expected = "key~school-1~" + caller->Key;
       if (caller->IsCall && c->Answer.body() != expected)
-        Trouble += caller->Marker + ": got another's answer; ";
+        Violations += caller->Marker + ": got another's answer; ";
     }
   }
 }
 
 // Running and judging.
 
-void World::run(Duration time) {
+void SimulatedCluster::run(Duration time) {
   const base::Instant until = Clock.now().Steady + time;
-  while (!Queue.empty() && Queue.begin()->first <= until) {
-    const auto first = Queue.begin();
+  while (!ScheduledActions.empty() &&
+         ScheduledActions.begin()->first <= until) {
+    const auto first = ScheduledActions.begin();
     if (first->first > Clock.now().Steady)
       Clock.advance(first->first - Clock.now().Steady);
     const auto action = std::move(first->second);
-    Queue.erase(first);
+    ScheduledActions.erase(first);
     action();
   }
   Clock.advance(until - Clock.now().Steady);
 }
 
-void World::settle() {
-  Healing = true;
-  run(SettleTime);
+void SimulatedCluster::settle() {
+  FaultsDisabled = true;
+  run(SettleDuration);
 }
 
-std::string World::check() const {
-  std::string wrong = Trouble;
+std::string SimulatedCluster::check() const {
+  std::string violations = Violations;
   for (const auto &caller : Callers) {
     if (!caller->IsOver) {
-      wrong += caller->Marker + ": never got a final answer; ";
+      violations += caller->Marker + ": never got a final answer; ";
       continue;
     }
-    const bool saidNotRun =
+    const bool wasToldNotRun =
         caller->Refused && caller->Refused->Outcome == Verdict::NotRun;
-    const auto &ran = caller->IsCall ? ServiceRuns : Started;
+    const auto &ran = caller->IsCall ? ServiceRuns : GenerationRuns;
     const bool didRun = ran.contains(caller->Marker);
-    if (saidNotRun && didRun && !caller->IsRepeat && caller->Resumes == 0 &&
-        !caller->IsCancel)
-      wrong += fmt::format("{}: said not run ({}), but it ran; ",
-                           caller->Marker, toString(caller->Refused->Why));
-    if (caller->IsWhole && !caller->IsCancel && !didRun)
-      wrong += caller->Marker + ": answered, but never ran; ";
+    if (wasToldNotRun && didRun && !caller->IsRepeated &&
+        caller->Resumes == 0 && !caller->IsCancel)
+      violations += fmt::format("{}: said not run ({}), but it ran; ",
+                                caller->Marker, toString(caller->Refused->Why));
+    if (caller->IsComplete && !caller->IsCancel && !didRun)
+      violations += caller->Marker + ": answered, but never ran; ";
   }
   for (const auto &[marker, n] : ServiceRuns)
     if (n > 1)
-      wrong += fmt::format("{}: ran {} times; ", marker, n);
+      violations += fmt::format("{}: ran {} times; ", marker, n);
   for (const auto &node : AgentNodes)
     if (!node->Streams.empty())
       for (const auto &[id, stream] : node->Streams)
         if (stream.IsRunning)
-          wrong += id + ": still runs unseen; ";
-  return wrong;
+          violations += id + ": still runs unseen; ";
+  return violations;
 }
 
-std::size_t World::wholeAnswers() const {
+std::size_t SimulatedCluster::completeAnswers() const {
   return static_cast<std::size_t>(
       std::count_if(Callers.begin(), Callers.end(),
-                    [](const auto &c) { return c->IsWhole; }));
+                    [](const auto &c) { return c->IsComplete; }));
 }
-std::size_t World::refusedWith(base::Reason why) const {
+std::size_t SimulatedCluster::refusedWith(base::Reason why) const {
   return static_cast<std::size_t>(
       std::count_if(Callers.begin(), Callers.end(), [&](const auto &c) {
         return c->Refused && c->Refused->Why == why;
       }));
 }
-std::size_t World::requests() const { return Callers.size(); }
-std::size_t World::agents() const { return AgentNodes.size(); }
-int World::startsOn(std::size_t a) const { return AgentNodes[a]->Starts; }
-std::size_t World::runningOn(std::size_t a) const {
+std::size_t SimulatedCluster::requests() const { return Callers.size(); }
+std::size_t SimulatedCluster::agents() const { return AgentNodes.size(); }
+int SimulatedCluster::startsOn(std::size_t a) const {
+  return AgentNodes[a]->Starts;
+}
+std::size_t SimulatedCluster::runningOn(std::size_t a) const {
   return AgentNodes[a]->Streams.size();
 }
 
-std::uint64_t World::bundleOfEntry(std::size_t i) const {
+std::uint64_t SimulatedCluster::bundleOfEntry(std::size_t i) const {
   return EntryNodes[i]->Core->documents().versions().bundle();
 }
-std::uint64_t World::bundleOfAgent(std::size_t i) const {
+std::uint64_t SimulatedCluster::bundleOfAgent(std::size_t i) const {
   return AgentNodes[i]->Core->documents().versions().bundle();
 }
 
--- a/test/world.h
+++ b/test/simulated-cluster.h
@@ -76,47 +76,47 @@
 std::string_view toString(Step s);
 std::string_view toString(Fault f);
 
-struct WorldOptions {
+struct SimulatedClusterOptions {
   std::uint64_t Seed = 1;
   int Entries = 2;
   int Engines = 2;
   int Services = 2;
   std::uint32_t EngineCapacity = 3'000;
-  agent::Mechanisms AgentOn;
-  entry::Mechanisms EntryOn;
+  agent::Mechanisms AgentMechanisms;
+  entry::Mechanisms EntryMechanisms;
   /// Part of all messages that are lost or doubled, for random runs.
-  double LosePart = 0;
-  double DoublePart = 0;
+  double LossRate = 0;
+  double DuplicationRate = 0;
   /// Part of the starts that the engines refuse.
-  double RefusePart = 0;
+  double RefusalRate = 0;
   /// Longest extra delay of a message.
-  base::milliseconds MostJitter{3};
+  base::milliseconds MaxJitter{3};
 };
 
-class World {
+class SimulatedCluster {
 public:
-  explicit World(WorldOptions options);
-  ~World();
+  explicit SimulatedCluster(SimulatedClusterOptions options);
+  ~SimulatedCluster();
 
   // What operators and callers do.
   void rollOut(std::uint64_t version);
   /// Asks for a generation; the caller resumes elsewhere when it is cut off.
-  void askGeneration(std::size_t entry);
+  void requestGeneration(std::size_t entry);
   /// Calls the plain service with a key; `repeats` sends it again elsewhere.
-  void askCall(std::size_t entry, bool repeats);
-  void cancelOne(std::size_t entry);
+  void requestCall(std::size_t entry, bool repeats);
+  void cancelGeneration(std::size_t entry);
   /// Makes a caller lose its connection and come back. The entry may not notice
   /// that the old connection is gone.
-  void dropCaller(bool isNoticed = true);
+  void disconnectCaller(bool isNoticed = true);
 
   // Faults.
   void inject(Fault fault, std::size_t entry, std::size_t agent);
   /// Injects `fault` at the n-th time that `step` is reached.
   void injectAt(Step step, Fault fault, int nth = 1);
   /// Injects a second fault some time after the planned one struck.
-  void followWith(Fault fault, base::Duration after);
-  bool wasInjected() const { return Injected; }
-  int reached(Step step) const;
+  void scheduleSecondFault(Fault fault, base::Duration after);
+  bool wasInjected() const { return WasFaultInjected; }
+  int stepCount(Step step) const;
 
   void run(base::Duration time);
   /// Heals everything and waits until nothing is on its way.
@@ -125,7 +125,7 @@
   /// Returns what is wrong; empty when every promise held.
   std::string check() const;
 
-  std::size_t wholeAnswers() const;
+  std::size_t completeAnswers() const;
   /// Streams that ended with an error, and requests that were refused.
   std::size_t refusedWith(base::Reason why) const;
   std::size_t attempts() const { return Attempts; }
@@ -133,16 +133,16 @@
   std::uint64_t bundleOfEntry(std::size_t i) const;
   std::uint64_t bundleOfAgent(std::size_t i) const;
   std::size_t agents() const;
-  void setKvDown(bool down) { KvDown = down; }
-  void leaveAgent(std::size_t agent);
+  void setStoreDown(bool down) { IsStoreDown = down; }
+  void listAgentLeaving(std::size_t agent);
   /// A new VM takes the place of one that left, under the same name.
   void replaceAgent(std::size_t agent);
   /// Tells an agent to stop, which the entries do not know yet.
-  void orderLeave(std::size_t agent);
+  void requestLeave(std::size_t agent);
   /// The platform's list is empty, as after a restart of the platform.
-  void emptyList();
+  void clearServerList();
   /// From now on engines never end by themselves before maxTokens.
-  void endless(bool on) { IsEndless = on; }
+  void setEndless(bool on) { IsEndless = on; }
   /// Starts of new work on the engine of an agent so far.
   int startsOn(std::size_t agent) const;
   std::size_t runningOn(std::size_t agent) const;
@@ -153,27 +153,30 @@
   struct AgentNode;
   struct FakeStream;
 
-  void at(base::Duration after, std::function<void()> action);
-  base::Now nowFor(base::milliseconds skew) const;
+  void scheduleAfter(base::Duration after, std::function<void()> action);
+  base::Now skewedNow(base::milliseconds skew) const;
   base::Duration linkDelay();
 
   void startEntry(std::size_t i);
   void startAgent(std::size_t i);
-  void listVms();
-  void tickEntry(std::size_t i, std::uint64_t life);
-  void tickAgent(std::size_t i, std::uint64_t life);
-  void readBundle(std::size_t i, std::uint64_t life);
-
-  void toEntry(std::size_t i, std::uint64_t life, entry::Event event);
-  void toAgent(std::size_t i, std::uint64_t life, agent::Event event);
+  void publishServerList();
+  void tickEntry(std::size_t i, std::uint64_t instance);
+  void tickAgent(std::size_t i, std::uint64_t instance);
+  void readBundle(std::size_t i, std::uint64_t instance);
+
+  void deliverToEntry(std::size_t i, std::uint64_t instance,
+                      entry::Event event);
+  void deliverToAgent(std::size_t i, std::uint64_t instance,
+                      agent::Event event);
   void execute(std::size_t i, entry::Command &command);
   void execute(std::size_t i, agent::Command &command);
 
   /// Carries a message over the network with whatever strikes it.
-  void carry(Step step, std::size_t entry, std::size_t agent, bool toAgent,
-             std::function<void()> deliver);
+  void transmit(Step step, std::size_t entry, std::size_t agent, bool isToAgent,
+                std::function<void()> deliver);
   /// Counts a step; returns the fault that strikes now, if any.
-  std::optional<Fault> reach(Step step, std::size_t entry, std::size_t agent);
+  std::optional<Fault> recordStep(Step step, std::size_t entry,
+                                  std::size_t agent);
   void deliverRequest(std::size_t entry, std::size_t agent, entry::MessageId id,
                       const wire::Request &request);
   void deliverPeer(std::size_t from, std::size_t to, entry::MessageId id,
@@ -182,43 +185,43 @@
   void startStream(std::size_t agent, const agent::StartOnEngine &c);
   void stopStream(std::size_t agent, const agent::StopOnEngine &c);
   void stepStream(std::size_t agent, const std::string &id,
-                  std::uint64_t generation);
+                  std::uint64_t epoch);
   void callService(std::size_t agent, const agent::CallService &c);
   void killEngine(std::size_t agent);
   void killEntry(std::size_t entry);
   void reclaim(std::size_t agent);
   template <typename Node> void freeze(Node &node);
 
-  void sendCaller(Caller &caller, std::size_t entry);
+  void sendRequest(Caller &caller, std::size_t entry);
   void resume(Caller &caller);
-  void onCallersCommand(std::size_t entry, entry::Command &command);
+  void handleCallerCommand(std::size_t entry, entry::Command &command);
 
-  WorldOptions Options;
+  SimulatedClusterOptions Options;
   base::ManualClock Clock;
   base::Random Random;
   Signers Keys;
-  std::multimap<base::Instant, std::function<void()>> Queue;
+  std::multimap<base::Instant, std::function<void()>> ScheduledActions;
   std::vector<std::unique_ptr<EntryNode>> EntryNodes;
   std::vector<std::unique_ptr<AgentNode>> AgentNodes;
   std::vector<std::unique_ptr<Caller>> Callers;
   std::map<entry::SessionId, Caller *> CallerOfSession;
   entry::SessionId NextSession = 1;
-  std::string KvBundle;
-  bool KvDown = false;
-  bool Healing = false;
+  std::string StoredBundle;
+  bool IsStoreDown = false;
+  bool FaultsDisabled = false;
   bool IsEndless = false;
-  std::map<Step, int> Reached;
+  std::map<Step, int> StepCounts;
   std::optional<Step> FaultStep;
   Fault PlannedFault = Fault::Lose;
   int PlannedNth = 1;
-  bool Injected = false;
+  bool WasFaultInjected = false;
   std::optional<Fault> SecondFault;
-  base::Duration SecondAfter{0};
+  base::Duration SecondFaultDelay{0};
   std::size_t Attempts = 0;
   /// What ran, by the caller's marker.
-  std::map<std::string, int> Started;
+  std::map<std::string, int> GenerationRuns;
   std::map<std::string, int> ServiceRuns;
-  std::string Trouble;
+  std::string Violations;
 };
 
 } // namespace drumlanding::test
--- a/tools/decision-bench.cc
+++ b/tools/decision-bench.cc
@@ -25,7 +25,7 @@
     s.add(now, id, spec);
   }
   for (agent::JobId id : s.decide(now).Start)
-    s.produced(now, id, 5);
+    s.recordTokens(now, id, 5);
   std::uint64_t id = running;
   for (auto _ : state) {
     s.add(now, ++id, spec);
@@ -51,7 +51,7 @@
   s.decide(now);
   std::uint64_t id = 0;
   for (auto _ : state)
-    s.produced(now, 1 + (id++ % running), 1);
+    s.recordTokens(now, 1 + (id++ % running), 1);
 }
 BENCHMARK(token)->Arg(256)->Arg(2'560);
 
--- a/tools/policy-bench.cc
+++ b/tools/policy-bench.cc
@@ -109,9 +109,9 @@
   if (FLAGS_risk_per_yield >= 0)
     o.Scheduling.RiskPerYield = FLAGS_risk_per_yield;
   if (FLAGS_overdrawn >= 0)
-    o.Scheduling.OverdrawnPart = FLAGS_overdrawn;
+    o.Scheduling.OverShareCapacityFraction = FLAGS_overdrawn;
   if (FLAGS_horizon >= 0)
-    o.Scheduling.LongestHorizon = static_cast<std::uint32_t>(FLAGS_horizon);
+    o.Scheduling.MaxHorizon = static_cast<std::uint32_t>(FLAGS_horizon);
   if (FLAGS_step_target >= 0)
     o.Scheduling.StepTarget = base::milliseconds(FLAGS_step_target);
   const std::map<std::string, PolicyFault> faults = {
--- a/tools/policy-run.cc
+++ b/tools/policy-run.cc
@@ -157,7 +157,7 @@
       o.StepTarget = base::milliseconds(0);
     if (Options.Policy == PolicyKind::Oracle) {
       o.RiskFactor = 0;
-      o.OverdrawnPart = 1;
+      o.OverShareCapacityFraction = 1;
       o.Survival = [this](const agent::JobView &view, std::uint32_t more) {
         const Request &r = Requests.at(view.Id);
         return view.Produced + more < r.Job.Length ? 1.0 : 0.0;
@@ -332,7 +332,7 @@
       Request &r = Requests.at(id);
       r.Job = w.Engine->stop(id);
       setOff(r);
-      w.Scheduler->yielded(Now, id);
+      w.Scheduler->recordYielded(Now, id);
     }
     // Room that a yield has made is used in the same step.
     const agent::Decisions more =
@@ -356,7 +356,7 @@
   void endStep(std::size_t i) {
     Worker &w = Workers[i];
     w.IsStepping = false;
-    w.Scheduler->stepTook(w.Step.Took, w.Step.PrefillTokens);
+    w.Scheduler->recordStep(w.Step.Took, w.Step.PrefillTokens);
     for (const EngineToken &token : w.Step.Tokens)
       deliver(w, token);
     beginStep(i);
@@ -367,7 +367,7 @@
     if (it == Requests.end())
       return;
     Request &r = it->second;
-    w.Scheduler->produced(Now, token.Id, 1);
+    w.Scheduler->recordTokens(Now, token.Id, 1);
     if (isMeasuredNow(r.Organisation))
       ++Tokens;
     if (Now - Start > Options.WarmUp)
