--- a/include/drumlanding/base/invariant.h
+++ b/include/drumlanding/base/invariant.h
@@ -26,7 +26,7 @@
 
 /// Counts a failure of `which` and reports it when `holds` is false. Aborts
 /// the process when failures are fatal. `what` names the request or document.
-void invariant(Invariant which, bool holds, std::string_view what);
+void invariant(Invariant which, bool holds, std::string_view subject);
 
 /// Makes failures abort the process (tests, `--fatal_invariants`).
 void setInvariantsFatal(bool fatal);
--- a/include/drumlanding/base/log.h
+++ b/include/drumlanding/base/log.h
@@ -15,26 +15,26 @@
 enum class LogFormat { Text, JsonLines };
 
 /// Sets the lowest level shown and the format of lines on standard error.
-void setUpLogs(LogLevel lowest, LogFormat format);
+void configureLogging(LogLevel minLevel, LogFormat format);
 
 /// The log of one part; cheap to copy.
 class Log {
 public:
-  explicit Log(std::string part) : Part(std::move(part)) {}
+  explicit Log(std::string component) : Component(std::move(component)) {}
 
   template <typename... Args>
   void debug(fmt::format_string<Args...> text, Args &&...args) const {
-    if (isShown(LogLevel::Debug))
+    if (isEnabled(LogLevel::Debug))
       write(LogLevel::Debug, fmt::format(text, std::forward<Args>(args)...));
   }
   template <typename... Args>
   void info(fmt::format_string<Args...> text, Args &&...args) const {
-    if (isShown(LogLevel::Info))
+    if (isEnabled(LogLevel::Info))
       write(LogLevel::Info, fmt::format(text, std::forward<Args>(args)...));
   }
   template <typename... Args>
   void warn(fmt::format_string<Args...> text, Args &&...args) const {
-    if (isShown(LogLevel::Warning))
+    if (isEnabled(LogLevel::Warning))
       write(LogLevel::Warning, fmt::format(text, std::forward<Args>(args)...));
   }
   template <typename... Args>
@@ -43,10 +43,10 @@
   }
 
 private:
-  static bool isShown(LogLevel level);
-  void write(LogLevel level, std::string_view sentence) const;
+  static bool isEnabled(LogLevel level);
+  void write(LogLevel level, std::string_view message) const;
 
-  std::string Part;
+  std::string Component;
 };
 
 } // namespace drumlanding::base
--- a/include/drumlanding/base/metrics.h
+++ b/include/drumlanding/base/metrics.h
@@ -25,7 +25,7 @@
   /// Adds `by` to a counter. The name must be in the list in metrics.cc, which
   /// gives its help text.
   void count(std::string_view name, const MetricLabels &labels = {},
-             double by = 1);
+             double amount = 1);
 
   /// Sets a gauge.
   void set(std::string_view name, double value,
--- a/include/drumlanding/base/verdict.h
+++ b/include/drumlanding/base/verdict.h
@@ -55,7 +55,7 @@
 /// A final answer that is not the whole answer.
 struct Refusal {
   Verdict Outcome = Verdict::NotRun;
-  Reason Why = Reason::None;
+  base::Reason Reason = base::Reason::None;
   /// When asking again makes sense; zero when it never does.
   std::chrono::milliseconds RetryAfter{0};
 };
@@ -65,7 +65,7 @@
 std::string_view toString(Reason r);
 
 /// Returns a sentence for people.
-std::string_view explain(Reason r);
+std::string_view describe(Reason r);
 
 /// Returns the HTTP status that carries this reason.
 int httpStatus(Reason r);
--- a/include/drumlanding/daemon/daemon.h
+++ b/include/drumlanding/daemon/daemon.h
@@ -36,7 +36,7 @@
 /// Reads and checks the common flags and `extra`, and sets up the logs.
 base::Result<DaemonSettings>
 readDaemonSettings(int argc, char **argv, std::string_view synopsis,
-                   std::span<const std::string_view> extra);
+                   std::span<const std::string_view> extraFlags);
 
 /// A pool of workers over one queue of events.
 class Runtime {
--- a/include/drumlanding/daemon/process.h
+++ b/include/drumlanding/daemon/process.h
@@ -28,11 +28,11 @@
 /// logs.
 base::Result<ProcessSettings>
 readProcessSettings(int argc, char **argv, std::string_view synopsis,
-                    std::span<const std::string_view> extra);
+                    std::span<const std::string_view> extraFlags);
 
 /// Answers /metrics, /healthz and /readyz; none for any other path.
 std::optional<http::Response>
-operatorsPage(const http::Request &request, base::Metrics &metrics,
-              const std::function<bool()> &isReady);
+handleOperatorRequest(const http::Request &request, base::Metrics &metrics,
+                      const std::function<bool()> &isReady);
 
 } // namespace drumlanding::daemon
--- a/include/drumlanding/gateway/dialect.h
+++ b/include/drumlanding/gateway/dialect.h
@@ -110,7 +110,7 @@
   std::function<CallerRequest(http::Request)> ReadRequest;
   std::function<http::Request(const CallerRequest &, const ServerOrder &)>
       ToServer;
-  std::function<ServerAnswer(const CallerRequest &, const http::AnswerHead &)>
+  std::function<ServerAnswer(const CallerRequest &, const http::ResponseHead &)>
       ReadAnswer;
   /// Puts the attempt's id on an answer of the gateway's own.
   std::function<void(const CallerRequest &, http::Response &)> MarkAnswer;
--- a/include/drumlanding/http/connection.h
+++ b/include/drumlanding/http/connection.h
@@ -17,7 +17,7 @@
 namespace drumlanding::http {
 
 /// The status line and headers of an answer.
-struct AnswerHead {
+struct ResponseHead {
   int Status = 0;
   std::vector<Header> Headers;
 
@@ -46,7 +46,7 @@
 
   /// Reads the head of the next answer. May be called again after an answer
   /// that belongs to another request has been read to its end.
-  virtual asio::awaitable<base::Result<AnswerHead>> readHead() = 0;
+  virtual asio::awaitable<base::Result<ResponseHead>> readHead() = 0;
 
   /// Reads the next piece of the body; empty at its proper end. An error means
   /// that the answer is not whole.
--- a/include/drumlanding/http/http.h
+++ b/include/drumlanding/http/http.h
@@ -74,9 +74,9 @@
   virtual asio::awaitable<bool> body(std::string bytes) = 0;
   virtual asio::awaitable<bool> endBody() = 0;
   /// Announces with this answer that the connection closes after it.
-  virtual void closeAfter() = 0;
+  virtual void closeAfterResponse() = 0;
   /// Calls `gone` when the caller closes the connection in mid-answer.
-  virtual void onGone(std::function<void()> gone) = 0;
+  virtual void onDisconnect(std::function<void()> handler) = 0;
 };
 
 using Handler = std::function<asio::awaitable<void>(Request, Exchange &)>;
@@ -86,9 +86,9 @@
   std::uint32_t MaxHeaderBytes = 16 << 10;
   std::uint64_t MaxBodyBytes = 1 << 20;
   /// From a request's first byte to the end of its headers.
-  base::milliseconds HeaderLimit{10'000};
+  base::milliseconds HeaderTimeout{10'000};
   /// Between requests, and for each read or write within one.
-  base::milliseconds IdleLimit{60'000};
+  base::milliseconds IdleTimeout{60'000};
 };
 
 struct ServerOptions {
@@ -96,10 +96,11 @@
   /// When set, replaces `Limits` from the next request on.
   std::function<CallerLimits()> CurrentLimits;
   /// What an oversized body is answered with.
-  Response TooLarge{413, "text/plain", "The body is too large.\n", {}};
+  Response BodyTooLarge{413, "text/plain", "The body is too large.\n", {}};
   Response HeaderTooLarge{
       431, "text/plain", "The headers are too large.\n", {}};
-  Response TooSlow{408, "text/plain", "The request came too slowly.\n", {}};
+  Response RequestTimeout{
+      408, "text/plain", "The request came too slowly.\n", {}};
   Response Malformed{400, "text/plain", "The request is malformed.\n", {}};
 };
 
@@ -113,7 +114,7 @@
   /// Closes the port; open connections go on until their answer is sent.
   void stopAccepting();
   /// From now on each answer closes its connection.
-  void closeAfterAnswers();
+  void closeAfterResponses();
   /// Closes the connections on which no request is being read or answered.
   void closeIdle();
 
@@ -124,35 +125,35 @@
 };
 
 /// What became of a request of ours.
-struct Fetched {
+struct FetchResult {
   /// False when no connection came about: the other side saw nothing.
-  bool Reached = false;
-  base::Result<Response> Answer;
+  bool IsConnected = false;
+  base::Result<Response> Outcome;
 };
 
 /// Sends one request on a connection of its own and reads the answer.
-asio::awaitable<Fetched> fetch(base::Endpoint to, Request request,
-                               base::milliseconds timeout);
+asio::awaitable<FetchResult> fetch(base::Endpoint to, Request request,
+                                   base::milliseconds timeout);
 
 /// How a stream of events ended.
 struct StreamEnd {
-  bool Reached = false;
+  bool IsConnected = false;
   int Status = 0;
   /// True when the other side ended it properly.
-  bool Whole = false;
+  bool IsComplete = false;
   std::string Body;
 };
 
 /// What a caller does with each event; false ends the stream.
 using EventHandler = std::function<bool(const ServerEvent &)>;
 /// Gets the head of the answer.
-using HeadHandler = std::function<void(const std::vector<Header> &)>;
+using HeadersHandler = std::function<void(const std::vector<Header> &)>;
 
 /// Sends a request and reads server-sent events until the end. `idleLimit` is
 /// the longest silence.
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
                                   base::milliseconds idleLimit,
                                   EventHandler onEvent,
-                                  HeadHandler onHead = nullptr);
+                                  HeadersHandler onHead = nullptr);
 
 } // namespace drumlanding::http
--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -187,11 +187,11 @@
   const bundle::Organisation *organisation =
       bundle ? bundle->organisation(start.organisation()) : nullptr;
   JobSpec spec;
-  if (refusal.Why == Reason::None && !organisation)
+  if (refusal.Reason == Reason::None && !organisation)
     refusal = {Verdict::NotRun, Reason::UnknownOrganisation, {}};
-  if (refusal.Why == Reason::None && !holds(Models, start))
+  if (refusal.Reason == Reason::None && !holds(Models, start))
     refusal = {Verdict::NotRun, Reason::UnknownModel, RetryNotReady};
-  if (refusal.Why == Reason::None) {
+  if (refusal.Reason == Reason::None) {
     const bundle::Contract &contract = organisation->Contract;
     spec = {
         start.organisation(),  lengthClass(start.organisation(), start.model()),
@@ -203,9 +203,10 @@
     if (wait > contract.MaxQueueWait)
       refusal = {Verdict::NotRun, Reason::Overloaded, wait};
   }
-  if (refusal.Why != Reason::None) {
-    note("agent.admit", fmt::format("refuse request={} reason={}",
-                                    start.request_id(), toString(refusal.Why)));
+  if (refusal.Reason != Reason::None) {
+    note("agent.admit",
+         fmt::format("refuse request={} reason={}", start.request_id(),
+                     toString(refusal.Reason)));
     Generations->leaveTombstone(now, start.request_id());
     refuse(id, refusal);
     return;
@@ -225,9 +226,9 @@
     const bool isOwner =
         call.repeatable() ||
         ownerOfKey(Roster, call.request_id()) == Options.Server;
-    if (refusal.Why == Reason::None && !isOwner)
+    if (refusal.Reason == Reason::None && !isOwner)
       refusal = {Verdict::NotRun, Reason::WrongOwner, RetryBehind};
-    if (refusal.Why != Reason::None) {
+    if (refusal.Reason != Reason::None) {
       Calls->refuseForGood(now, id, call.attempt(), refusal);
       return;
     }
--- a/src/agent/generation-table.cc
+++ b/src/agent/generation-table.cc
@@ -78,7 +78,7 @@
       g.Life.state() == GenerationState::Failed && !g.WasSubmitted;
   if (g.IsTombstone || neverRan) {
     refuse(replyId,
-           {Verdict::NotRun, g.IsTombstone ? Reason::Revoked : g.Failure.Why,
+           {Verdict::NotRun, g.IsTombstone ? Reason::Revoked : g.Failure.Reason,
             g.Failure.RetryAfter});
     return;
   }
@@ -163,7 +163,8 @@
   if (stopOnEngine && (isOnEngine || isKept))
     Out.push_back(StopOnEngine{id, false});
   note(fmt::format("end request={} verdict={} reason={} tokens={}", id,
-                   toString(why.Outcome), toString(why.Why), g.Tokens.size()));
+                   toString(why.Outcome), toString(why.Reason),
+                   g.Tokens.size()));
 }
 
 void GenerationTable::finish(base::Now now, Generation &g) {
--- a/src/agent/shell.cc
+++ b/src/agent/shell.cc
@@ -176,7 +176,7 @@
       Settings.Backend, std::move(request), StreamSilence, onEvent);
   if (*stopped)
     co_return;
-  if (!how && !end.Reached)
+  if (!how && !end.IsConnected)
     how = EngineEnd::Unreached;
   if (!how && end.Status == 409)
     how = EngineEnd::Unresumable;
@@ -194,7 +194,7 @@
     http::Request request{"POST", target, {}, {}};
     const auto fetched =
         co_await http::fetch(Settings.Backend, std::move(request), StopLimit);
-    if (ok(fetched.Answer))
+    if (ok(fetched.Outcome))
       co_return;
     co_await sleepFor(StopLimit / 4);
   }
@@ -208,9 +208,9 @@
                         call.Call.body()};
   const auto fetched =
       co_await http::fetch(Settings.Backend, std::move(request), CallLimit);
-  CallEnded ended{call.RequestId, fetched.Reached, ok(fetched.Answer), {}};
+  CallEnded ended{call.RequestId, fetched.IsConnected, ok(fetched.Outcome), {}};
   if (ended.Answered) {
-    const http::Response &response = value(fetched.Answer);
+    const http::Response &response = value(fetched.Outcome);
     ended.Reply.set_status(static_cast<std::uint32_t>(response.Status));
     ended.Reply.set_content_type(response.ContentType);
     ended.Reply.set_body(response.Body);
@@ -230,7 +230,7 @@
       Json{{"fence", order.Fence}, {"models", models}}.dump()};
   const auto fetched =
       co_await http::fetch(Settings.Backend, std::move(request), LoadLimit);
-  const int status = ok(fetched.Answer) ? value(fetched.Answer).Status : 0;
+  const int status = ok(fetched.Outcome) ? value(fetched.Outcome).Status : 0;
   base::Log("agent.place").info("load fence={} status={}", order.Fence, status);
 }
 
@@ -268,9 +268,9 @@
   http::Request request{"GET", "/v1/load", {}, {}};
   const auto fetched =
       co_await http::fetch(Settings.Backend, std::move(request), ObserveLimit);
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != 200)
+  if (!ok(fetched.Outcome) || value(fetched.Outcome).Status != 200)
     co_return seen;
-  const Json json = Json::parse(value(fetched.Answer).Body, nullptr, false);
+  const Json json = Json::parse(value(fetched.Outcome).Body, nullptr, false);
   try {
     seen.CapacityTokens = json.at("capacityTokens").get<std::uint64_t>();
     seen.Models = modelsFrom(json.at("models"));
@@ -294,7 +294,7 @@
   http::Request request{"GET", "/healthz", {}, {}};
   const auto fetched =
       co_await http::fetch(Settings.Backend, std::move(request), ObserveLimit);
-  seen.IsAlive = ok(fetched.Answer) && value(fetched.Answer).Status == 200;
+  seen.IsAlive = ok(fetched.Outcome) && value(fetched.Outcome).Status == 200;
   co_return seen;
 }
 
@@ -346,7 +346,7 @@
     const std::lock_guard guard(CoreLock);
     return TheCore->serverState() == ServerState::Serving;
   };
-  auto page = daemon::operatorsPage(request, Metrics, isReady);
+  auto page = daemon::handleOperatorRequest(request, Metrics, isReady);
   if (!page)
     page = http::Response{404, "text/plain", "There is no such page.\n", {}};
   co_await x.send(std::move(*page));
--- a/src/base/invariant.cc
+++ b/src/base/invariant.cc
@@ -8,20 +8,21 @@
 namespace drumlanding::base {
 namespace {
 
-constexpr std::size_t Count = static_cast<std::size_t>(Invariant::Last) + 1;
-std::array<std::atomic<std::uint64_t>, Count> Failures{};
+constexpr std::size_t InvariantCount =
+    static_cast<std::size_t>(Invariant::Last) + 1;
+std::array<std::atomic<std::uint64_t>, InvariantCount> Failures{};
 std::atomic<bool> Fatal{false};
 
 } // namespace
 
-void invariant(Invariant which, bool holds, std::string_view what) {
+void invariant(Invariant which, bool holds, std::string_view subject) {
   if (holds)
     return;
   Failures[static_cast<std::size_t>(which)].fetch_add(1);
   const std::string_view name = toString(which);
   std::fprintf(stderr, "invariant failed: %.*s (%.*s)\n",
                static_cast<int>(name.size()), name.data(),
-               static_cast<int>(what.size()), what.data());
+               static_cast<int>(subject.size()), subject.data());
   if (Fatal.load())
     std::abort();
 }
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -8,10 +8,10 @@
 namespace drumlanding::base {
 namespace {
 
-std::atomic<LogLevel> Lowest{LogLevel::Info};
+std::atomic<LogLevel> MinLevel{LogLevel::Info};
 std::atomic<LogFormat> Format{LogFormat::Text};
 
-spdlog::level::level_enum levelOf(LogLevel level) {
+spdlog::level::level_enum toSpdlogLevel(LogLevel level) {
   switch (level) {
   case LogLevel::Debug:
     return spdlog::level::debug;
@@ -36,8 +36,8 @@
 
 } // namespace
 
-void setUpLogs(LogLevel lowest, LogFormat format) {
-  Lowest.store(lowest);
+void configureLogging(LogLevel minLevel, LogFormat format) {
+  MinLevel.store(minLevel);
   Format.store(format);
   if (format == LogFormat::JsonLines)
     sink().set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})");
@@ -45,19 +45,21 @@
     sink().set_pattern("%Y-%m-%dT%H:%M:%S.%e %L %v");
 }
 
-bool Log::isShown(LogLevel level) { return level >= Lowest.load(); }
+bool Log::isEnabled(LogLevel level) { return level >= MinLevel.load(); }
 
-void Log::write(LogLevel level, std::string_view sentence) const {
+void Log::write(LogLevel level, std::string_view message) const {
   if (Format.load() == LogFormat::Text) {
-    sink().log(levelOf(level), "[{}] {}", Part, sentence);
+    sink().log(toSpdlogLevel(level), "[{}] {}", Component, message);
     return;
   }
   // Callers choose parts of sentences, so both fields are escaped.
   const auto replace = nlohmann::json::error_handler_t::replace;
-  const std::string part = nlohmann::json(Part).dump(-1, ' ', false, replace);
+  const std::string component =
+      nlohmann::json(Component).dump(-1, ' ', false, replace);
   const std::string text =
-      nlohmann::json(std::string(sentence)).dump(-1, ' ', false, replace);
-  sink().log(levelOf(level), "\"part\":{},\"message\":{}", part, text);
+      nlohmann::json(std::string(message)).dump(-1, ' ', false, replace);
+  sink().log(toSpdlogLevel(level), "\"part\":{},\"message\":{}", component,
+             text);
 }
 
 } // namespace drumlanding::base
--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -15,13 +15,13 @@
 namespace drumlanding::base {
 namespace {
 
-struct MetricHelp {
+struct MetricDescription {
   std::string_view Name;
   std::string_view Help;
 };
 
 /// Every metric of every program; docs/OPERATORS.md repeats this list.
-constexpr MetricHelp Known[] = {
+constexpr MetricDescription MetricDescriptions[] = {
     {"drumlanding_requests_total", "Requests ended, by kind and verdict."},
     {"drumlanding_refusals_total", "Refusals, by verdict and reason."},
     {"drumlanding_attempts_total", "Attempts sent to agents."},
@@ -67,8 +67,8 @@
     {"process_cpu_seconds_total", "Processor time, user and system."},
 };
 
-std::string helpOf(std::string_view name) {
-  for (const MetricHelp &row : Known)
+std::string findHelp(std::string_view name) {
+  for (const MetricDescription &row : MetricDescriptions)
     if (row.Name == name)
       return std::string(row.Help);
   return "Not described.";
@@ -91,7 +91,7 @@
   return toSeconds(usage.ru_utime) + toSeconds(usage.ru_stime);
 }
 
-const prometheus::Histogram::BucketBoundaries Buckets = {
+const prometheus::Histogram::BucketBoundaries HistogramBuckets = {
     0.005, 0.01, 0.02, 0.046, 0.1, 0.2, 0.4, 0.78, 1.5, 3, 6, 12, 30};
 
 } // namespace
@@ -112,17 +112,17 @@
 Metrics::~Metrics() = default;
 
 void Metrics::count(std::string_view name, const MetricLabels &labels,
-                    double by) {
+                    double amount) {
   const std::lock_guard guard(S->Lock);
   auto it = S->Counters.find(name);
   if (it == S->Counters.end()) {
     auto &family = prometheus::BuildCounter()
                        .Name(std::string(name))
-                       .Help(helpOf(name))
+                       .Help(findHelp(name))
                        .Register(S->Registry);
     it = S->Counters.emplace(name, &family).first;
   }
-  it->second->Add(labels).Increment(by);
+  it->second->Add(labels).Increment(amount);
 }
 
 void Metrics::set(std::string_view name, double value,
@@ -132,7 +132,7 @@
   if (it == S->Gauges.end()) {
     auto &family = prometheus::BuildGauge()
                        .Name(std::string(name))
-                       .Help(helpOf(name))
+                       .Help(findHelp(name))
                        .Register(S->Registry);
     it = S->Gauges.emplace(name, &family).first;
   }
@@ -146,11 +146,11 @@
   if (it == S->Histograms.end()) {
     auto &family = prometheus::BuildHistogram()
                        .Name(std::string(name))
-                       .Help(helpOf(name))
+                       .Help(findHelp(name))
                        .Register(S->Registry);
     it = S->Histograms.emplace(name, &family).first;
   }
-  it->second->Add(labels, Buckets).Observe(seconds);
+  it->second->Add(labels, HistogramBuckets).Observe(seconds);
 }
 
 std::string Metrics::text() {
--- a/src/base/settings.cc
+++ b/src/base/settings.cc
@@ -65,7 +65,7 @@
   }
 }
 
-Result<Done> readEnvironment(std::span<const std::string_view> allowed) {
+Result<Done> applyEnvironment(std::span<const std::string_view> allowed) {
   for (std::string_view flag : allowed) {
     const std::string name = environmentName(flag);
     const char *text = std::getenv(name.c_str());
@@ -78,25 +78,25 @@
 }
 
 /// One flag as the command line or a settings file spells it.
-struct FlagWord {
+struct FlagArgument {
   std::string Name;
   std::string Value;
   bool HasValue = false;
 };
 
-FlagWord splitWord(std::string_view word) {
-  word.remove_prefix(word.starts_with("--") ? 2 : 1);
-  const auto equals = word.find('=');
+FlagArgument parseFlagArgument(std::string_view argument) {
+  argument.remove_prefix(argument.starts_with("--") ? 2 : 1);
+  const auto equals = argument.find('=');
   if (equals == std::string_view::npos)
-    return {std::string(word), "", false};
-  return {std::string(word.substr(0, equals)),
-          std::string(word.substr(equals + 1)), true};
+    return {std::string(argument), "", false};
+  return {std::string(argument.substr(0, equals)),
+          std::string(argument.substr(equals + 1)), true};
 }
 
 /// Sets the flags that a settings file names, one --flag=value a line. Blank
 /// lines and lines that begin with # say nothing.
-Result<Done> readFile(const std::string &path,
-                      std::span<const std::string_view> allowed) {
+Result<Done> applySettingsFile(const std::string &path,
+                               std::span<const std::string_view> allowed) {
   std::ifstream file(path);
   if (!file)
     return invalid("--node_file", "cannot be read: " + path);
@@ -107,23 +107,23 @@
     const std::string where = path + ":" + std::to_string(number);
     if (!line.starts_with("--"))
       return invalid(where, "not --flag=value: " + line);
-    const FlagWord word = splitWord(line);
-    if (!isAllowed(allowed, word.Name))
-      return invalid(where, "unknown flag --" + word.Name);
-    if (auto r = setFlag(word.Name, word.Value, where); !ok(r))
+    const FlagArgument argument = parseFlagArgument(line);
+    if (!isAllowed(allowed, argument.Name))
+      return invalid(where, "unknown flag --" + argument.Name);
+    if (auto r = setFlag(argument.Name, argument.Value, where); !ok(r))
       return r;
   }
   return Done{};
 }
 
-bool isBool(const std::string &flag) {
+bool isBoolFlag(const std::string &flag) {
   gflags::CommandLineFlagInfo info;
   return gflags::GetCommandLineFlagInfo(flag.c_str(), &info) &&
          info.type == "bool";
 }
 
 /// Returns the settings file that the command line or the environment names.
-std::string settingsFile(int argc, char **argv) {
+std::string findSettingsFile(int argc, char **argv) {
   const std::string flag = "--" + std::string(SettingsFileFlag);
   for (int i = 1; i < argc; ++i) {
     const std::string_view arg = argv[i];
@@ -141,37 +141,39 @@
 Result<std::vector<std::string>>
 readSettings(int argc, char **argv, std::string_view synopsis,
              std::span<const std::string_view> allowed) {
-  const bool takesFile = isAllowed(allowed, SettingsFileFlag);
-  if (const std::string path = takesFile ? settingsFile(argc, argv) : "";
+  const bool acceptsFile = isAllowed(allowed, SettingsFileFlag);
+  if (const std::string path = acceptsFile ? findSettingsFile(argc, argv) : "";
       !path.empty())
-    if (auto r = readFile(path, allowed); !ok(r))
+    if (auto r = applySettingsFile(path, allowed); !ok(r))
       return error(r);
-  if (auto r = readEnvironment(allowed); !ok(r))
+  if (auto r = applyEnvironment(allowed); !ok(r))
     return error(r);
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
   for (int i = 1; i < argc; ++i) {
     const std::string_view arg = argv[i];
     if (!arg.starts_with('-') || arg == "-") {
-      words.emplace_back(arg);
+      positional.emplace_back(arg);
       continue;
     }
-    FlagWord word = splitWord(arg);
-    if (word.Name == "help") {
+    FlagArgument argument = parseFlagArgument(arg);
+    if (argument.Name == "help") {
       printHelp(synopsis, allowed);
       std::exit(0);
     }
-    if (!isAllowed(allowed, word.Name))
-      return invalid("--" + word.Name, "unknown flag; --help lists the flags");
-    if (!word.HasValue && isBool(word.Name))
-      word.Value = "true";
-    else if (!word.HasValue && i + 1 < argc)
-      word.Value = argv[++i];
-    else if (!word.HasValue)
-      return invalid("--" + word.Name, "a value is missing");
-    if (auto r = setFlag(word.Name, word.Value, "--" + word.Name); !ok(r))
+    if (!isAllowed(allowed, argument.Name))
+      return invalid("--" + argument.Name,
+                     "unknown flag; --help lists the flags");
+    if (!argument.HasValue && isBoolFlag(argument.Name))
+      argument.Value = "true";
+    else if (!argument.HasValue && i + 1 < argc)
+      argument.Value = argv[++i];
+    else if (!argument.HasValue)
+      return invalid("--" + argument.Name, "a value is missing");
+    if (auto r = setFlag(argument.Name, argument.Value, "--" + argument.Name);
+        !ok(r))
       return error(r);
   }
-  return words;
+  return positional;
 }
 
 void exitOnBadSettings(const Error &e) {
@@ -181,21 +183,21 @@
 
 Result<Endpoint> parseEndpoint(std::string_view flag, std::string_view text) {
   const std::string where(flag);
-  const std::string allowed = "value '" + std::string(text) +
+  const std::string message = "value '" + std::string(text) +
                               "' is not IP:port, such as 127.0.0.1:8080";
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos)
-    return invalid(where, allowed);
+    return invalid(where, message);
   Endpoint endpoint;
   endpoint.Address = std::string(text.substr(0, colon));
   std::array<unsigned char, sizeof(in6_addr)> buf{};
   if (inet_pton(AF_INET, endpoint.Address.c_str(), buf.data()) != 1)
-    return invalid(where, allowed);
+    return invalid(where, message);
   const std::string_view digits = text.substr(colon + 1);
   const auto [end, ec] = std::from_chars(
       digits.data(), digits.data() + digits.size(), endpoint.Port);
   if (ec != std::errc() || end != digits.data() + digits.size())
-    return invalid(where, allowed);
+    return invalid(where, message);
   return endpoint;
 }
 
@@ -212,12 +214,12 @@
 }
 
 Result<Done> checkName(std::string_view flag, std::string_view text) {
-  constexpr std::size_t Longest = 64;
+  constexpr std::size_t MaxNameLength = 64;
   const auto isNameChar = [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' ||
            c == '_' || c == '.';
   };
-  if (!text.empty() && text.size() <= Longest &&
+  if (!text.empty() && text.size() <= MaxNameLength &&
       std::all_of(text.begin(), text.end(), isNameChar))
     return Done{};
   return invalid(std::string(flag),
@@ -227,18 +229,18 @@
 
 Result<std::string> parseHex(std::string_view flag, std::string_view text,
                              std::size_t size) {
-  const Error bad =
+  const Error lengthError =
       invalid(std::string(flag),
               "expected " + std::to_string(size * 2) + " hexadecimal digits");
   if (text.size() != size * 2)
-    return bad;
+    return lengthError;
   std::string bytes;
   for (std::size_t i = 0; i < text.size(); i += 2) {
     unsigned byte = 0;
     const auto [end, ec] =
         std::from_chars(text.data() + i, text.data() + i + 2, byte, 16);
     if (ec != std::errc() || end != text.data() + i + 2)
-      return bad;
+      return lengthError;
     bytes += static_cast<char>(byte);
   }
   return bytes;
--- a/src/base/verdict.cc
+++ b/src/base/verdict.cc
@@ -62,7 +62,7 @@
     {Reason::AnswerLost, "answer-lost", 502, "The answer was lost."},
 };
 
-const ReasonRow &rowOf(Reason r) {
+const ReasonRow &findRow(Reason r) {
   for (const ReasonRow &row : Rows)
     if (row.Id == r)
       return row;
@@ -83,9 +83,9 @@
   return "may-have-run";
 }
 
-std::string_view toString(Reason r) { return rowOf(r).Name; }
-std::string_view explain(Reason r) { return rowOf(r).Sentence; }
-int httpStatus(Reason r) { return rowOf(r).Status; }
+std::string_view toString(Reason r) { return findRow(r).Name; }
+std::string_view describe(Reason r) { return findRow(r).Sentence; }
+int httpStatus(Reason r) { return findRow(r).Status; }
 
 Verdict verdictFrom(std::uint32_t number) {
   if (number > static_cast<std::uint32_t>(Verdict::MayHaveRun))
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -17,7 +17,7 @@
 
 using base::Result;
 
-int fail(const base::Error &e, int code) {
+int reportError(const base::Error &e, int code) {
   std::fprintf(stderr, "%s\n", describe(e).c_str());
   return code;
 }
@@ -53,93 +53,95 @@
   return bundle::SignedBundle{value(text), {}, {}};
 }
 
-int keygen(Words words) {
-  if (words.size() != 1)
-    return fail(base::invalid("keygen", "one NAME is expected"), ExitWrongCall);
+int keygen(Arguments args) {
+  if (args.size() != 1)
+    return reportError(base::invalid("keygen", "one NAME is expected"),
+                       ExitUsage);
   const bundle::KeyPair pair = bundle::makeKeyPair();
-  const std::string name = words[0];
+  const std::string name = args[0];
   auto r = writeFile(name + ".key", base::toHex(pair.Secret) + "\n", true);
   if (!ok(r))
-    return fail(error(r));
+    return reportError(error(r));
   r = writeFile(name + ".pub", base::toHex(pair.Public) + "\n", false);
   if (!ok(r))
-    return fail(error(r));
+    return reportError(error(r));
   std::printf("%s.key (keep it secret) and %s.pub\n%s\n", name.c_str(),
               name.c_str(), base::toHex(pair.Public).c_str());
-  return ExitDone;
+  return ExitSuccess;
 }
 
 int controlKey() {
   std::printf("%s%s\n", base::randomId().c_str(), base::randomId().c_str());
-  return ExitDone;
+  return ExitSuccess;
 }
 
 int credential() {
-  const std::string made = base::randomId();
-  std::printf("credential %s\ncredentialHash %s\n", made.c_str(),
-              bundle::credentialHash(made).c_str());
-  return ExitDone;
+  const std::string generated = base::randomId();
+  std::printf("credential %s\ncredentialHash %s\n", generated.c_str(),
+              bundle::credentialHash(generated).c_str());
+  return ExitSuccess;
 }
 
-int checkBundle(Words words) {
-  if (words.size() != 1)
-    return fail(base::invalid("bundle check", "one FILE is expected"),
-                ExitWrongCall);
-  const auto read = readBundleFile(words[0]);
+int checkBundle(Arguments args) {
+  if (args.size() != 1)
+    return reportError(base::invalid("bundle check", "one FILE is expected"),
+                       ExitUsage);
+  const auto read = readBundleFile(args[0]);
   if (!ok(read))
-    return fail(error(read));
+    return reportError(error(read));
   const auto parsed = bundle::parseBundle(value(read).Document);
   if (!ok(parsed))
-    return fail(error(parsed));
+    return reportError(error(parsed));
   const bundle::Bundle &b = value(parsed);
   std::printf("%s: version %llu, %zu places, %zu models, %zu services, "
               "%zu organisations\n",
               b.Deployment.c_str(), static_cast<unsigned long long>(b.Version),
               b.Places.size(), b.Models.size(), b.Services.size(),
               b.Organisations.size());
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int diffBundleFiles(Words words) {
-  if (words.size() != 2)
-    return fail(base::invalid("bundle diff", "OLD and NEW are expected"),
-                ExitWrongCall);
-  const auto a = readBundleFile(words[0]);
-  const auto b = readBundleFile(words[1]);
+int diffBundleFiles(Arguments args) {
+  if (args.size() != 2)
+    return reportError(base::invalid("bundle diff", "OLD and NEW are expected"),
+                       ExitUsage);
+  const auto a = readBundleFile(args[0]);
+  const auto b = readBundleFile(args[1]);
   if (!ok(a) || !ok(b))
-    return fail(ok(a) ? error(b) : error(a));
+    return reportError(ok(a) ? error(b) : error(a));
   const auto lines = bundle::diffBundles(value(a).Document, value(b).Document);
   if (!ok(lines))
-    return fail(error(lines));
+    return reportError(error(lines));
   for (const std::string &line : value(lines))
     std::printf("%s\n", line.c_str());
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int signBundle(Words words, std::string_view role, const std::string &keyFile,
-               const std::string &outFile) {
-  if (words.size() != 1 || keyFile.empty() ||
+int signBundle(Arguments args, std::string_view role,
+               const std::string &keyFile, const std::string &outFile) {
+  if (args.size() != 1 || keyFile.empty() ||
       (role != "author" && role != "approver"))
-    return fail(base::invalid("bundle sign",
-                              "FILE, --key and --role author or approver "
-                              "are expected"),
-                ExitWrongCall);
-  auto signing = readBundleFile(words[0]);
+    return reportError(
+        base::invalid("bundle sign",
+                      "FILE, --key and --role author or approver "
+                      "are expected"),
+        ExitUsage);
+  auto signing = readBundleFile(args[0]);
   if (!ok(signing))
-    return fail(error(signing));
+    return reportError(error(signing));
   const auto parsed = bundle::parseBundle(value(signing).Document);
   if (!ok(parsed))
-    return fail(error(parsed));
+    return reportError(error(parsed));
   auto secretText = readFile(keyFile);
   if (!ok(secretText))
-    return fail(error(secretText));
+    return reportError(error(secretText));
   std::string digits = value(secretText);
   while (!digits.empty() && std::isspace(digits.back()))
     digits.pop_back();
   const auto secret =
       base::parseHex(keyFile, digits, crypto_sign_SECRETKEYBYTES);
   if (!ok(secret))
-    return fail(error(secret));
+    return reportError(error(secret));
   bundle::SignedBundle &signedBundle = value(signing);
   // The author writes the form that travels as differences; who signs it off
   // signs the same bytes.
@@ -149,37 +151,38 @@
       role == "author" ? bundle::Role::Author : bundle::Role::Approver;
   bundle::sign(signedBundle, as, value(secret));
   if (signedBundle.Author.Key == signedBundle.Approver.Key)
-    return fail(base::invalid("--key", "the author cannot sign off the "
-                                       "bundle"));
-  const std::string target = outFile.empty() ? words[0] : outFile;
+    return reportError(base::invalid("--key", "the author cannot sign off the "
+                                              "bundle"));
+  const std::string target = outFile.empty() ? args[0] : outFile;
   if (auto r = writeFile(target, bundle::serialise(signedBundle) + "\n", false);
       !ok(r))
-    return fail(error(r));
+    return reportError(error(r));
   std::printf("%s: signed as %s\n", target.c_str(), std::string(role).c_str());
-  return ExitDone;
+  return ExitSuccess;
 }
 
-int explainRequest(Words words) {
-  if (words.size() < 2)
-    return fail(base::invalid("explain", "needs a request's id and log files"),
-                ExitWrongCall);
+int explainRequest(Arguments args) {
+  if (args.size() < 2)
+    return reportError(
+        base::invalid("explain", "needs a request's id and log files"),
+        ExitUsage);
   std::vector<LogLine> lines;
-  for (const std::string &file : words.subspan(1)) {
+  for (const std::string &file : args.subspan(1)) {
     const auto text = readFile(file);
     if (!ok(text))
-      return fail(error(text));
+      return reportError(error(text));
     std::istringstream stream(value(text));
     for (std::string line; std::getline(stream, line);)
       if (auto read = parseLogLine(line))
         lines.push_back(std::move(*read));
   }
-  const auto story = explain(lines, words[0]);
-  if (!ok(story))
-    return fail(error(story));
-  for (const LogLine &line : value(story).Lines)
+  const auto trace = explain(lines, args[0]);
+  if (!ok(trace))
+    return reportError(error(trace));
+  for (const LogLine &line : value(trace).Lines)
     std::printf("%s\n", toText(line).c_str());
-  std::printf("%s\n", value(story).Cause.c_str());
-  return ExitDone;
+  std::printf("%s\n", value(trace).Cause.c_str());
+  return ExitSuccess;
 }
 
 } // namespace drumlanding::ctl
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -11,28 +11,28 @@
 
 namespace drumlanding::ctl {
 
-inline constexpr int ExitDone = 0;
-inline constexpr int ExitRefused = 1;
-inline constexpr int ExitWrongCall = 2;
+inline constexpr int ExitSuccess = 0;
+inline constexpr int ExitFailure = 1;
+inline constexpr int ExitUsage = 2;
 
-using Words = std::span<const std::string>;
+using Arguments = std::span<const std::string>;
 
 /// keygen NAME: writes NAME.key (secret) and NAME.pub.
-int keygen(Words words);
+int keygen(Arguments args);
 /// control-key: prints a new shared key of the daemons.
 int controlKey();
 /// credential: prints a new credential and the hash that the bundle holds.
 int credential();
 /// bundle check FILE
-int checkBundle(Words words);
+int checkBundle(Arguments args);
 /// bundle diff OLD NEW
-int diffBundleFiles(Words words);
+int diffBundleFiles(Arguments args);
 /// bundle sign FILE: adds the signature of --role with --key.
-int signBundle(Words words, std::string_view role, const std::string &keyFile,
-               const std::string &outFile);
+int signBundle(Arguments args, std::string_view role,
+               const std::string &keyFile, const std::string &outFile);
 
 /// explain REQUEST FILE...: tells the request's story from logs.
-int explainRequest(Words words);
+int explainRequest(Arguments args);
 
 base::Result<std::string> readFile(const std::string &path);
 base::Result<base::Done> writeFile(const std::string &path,
@@ -41,6 +41,6 @@
 base::Result<bundle::SignedBundle> readBundleFile(const std::string &path);
 
 /// Prints the error's one line; returns `code`.
-int fail(const base::Error &e, int code = ExitRefused);
+int reportError(const base::Error &e, int code = ExitFailure);
 
 } // namespace drumlanding::ctl
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -36,7 +36,7 @@
   std::int64_t From = 0;
   std::int64_t To = 0;
 
-  bool holds(const LogLine &line) const {
+  bool contains(const LogLine &line) const {
     if (line.TimeMs < From - BeforeMs || line.TimeMs > To + AfterMs)
       return false;
     const bool isOfServer = line.Event.starts_with("server-") &&
@@ -46,11 +46,11 @@
   }
 };
 
-Scope scopeOf(Lines own) {
+Scope makeScope(Lines requestLines) {
   Scope scope;
-  scope.From = own.front().TimeMs;
-  scope.To = own.back().TimeMs;
-  for (const LogLine &line : own) {
+  scope.From = requestLines.front().TimeMs;
+  scope.To = requestLines.back().TimeMs;
+  for (const LogLine &line : requestLines) {
     scope.Processes.insert(line.Process);
     for (const char *field : {"server", "from", "to"})
       if (const std::string server = line.text(field); !server.empty())
@@ -59,7 +59,7 @@
   return scope;
 }
 
-const LogLine *lastOf(Lines lines, std::string_view event) {
+const LogLine *findLast(Lines lines, std::string_view event) {
   const LogLine *last = nullptr;
   for (const LogLine &line : lines)
     if (line.Event == event)
@@ -83,10 +83,10 @@
   return "The logs end before the request does.";
 }
 
-std::string causeOfBrokenStream(Lines story, const LogLine &end) {
-  const LogLine *leaving = lastOf(story, "server-leaving");
-  const LogLine *begun = lastOf(story, "move-begun");
-  const LogLine *continued = lastOf(story, "move-continued");
+std::string causeOfBrokenStream(Lines trace, const LogLine &end) {
+  const LogLine *leaving = findLast(trace, "server-leaving");
+  const LogLine *begun = findLast(trace, "move-begun");
+  const LogLine *continued = findLast(trace, "move-continued");
   if (continued && continued->number("status") != 200)
     return fmt::format("{} did not take up the moved generation (status {}).",
                        continued->text("server"), continued->number("status"));
@@ -98,13 +98,13 @@
     return fmt::format("{} left, and the generation's turn to move had not "
                        "come.",
                        leaving->text("server"));
-  const LogLine *placed = lastOf(story, "placed");
+  const LogLine *placed = findLast(trace, "placed");
   return fmt::format("{} broke the connection without notice ({}).",
                      placed ? placed->text("server") : "Its server",
                      end.text("how"));
 }
 
-std::string causeOfStream(Lines story, const LogLine &end) {
+std::string causeOfStream(Lines trace, const LogLine &end) {
   const std::string how = end.text("how");
   if (how == "whole")
     return fmt::format("It was served whole; its longest pause was {} ms.",
@@ -115,7 +115,7 @@
     return "No backend server of its service was usable.";
   if (how == "answered")
     return "Each server that it met said that it did not run it, or failed.";
-  return causeOfBrokenStream(story, end);
+  return causeOfBrokenStream(trace, end);
 }
 
 std::string causeOfCall(const LogLine &end) {
@@ -142,12 +142,12 @@
   }
 }
 
-std::string causeOf(Lines all, Lines own, Lines story) {
-  if (const LogLine *end = lastOf(own, "stream-ended"))
-    return causeOfStream(story, *end);
-  if (const LogLine *end = lastOf(own, "request-ended"))
+std::string causeOf(Lines all, Lines requestLines, Lines trace) {
+  if (const LogLine *end = findLast(requestLines, "stream-ended"))
+    return causeOfStream(trace, *end);
+  if (const LogLine *end = findLast(requestLines, "request-ended"))
     return causeOfCall(*end);
-  return causeWithoutEnd(all, own.back());
+  return causeWithoutEnd(all, requestLines.back());
 }
 
 } // namespace
@@ -178,25 +178,25 @@
   return parsed;
 }
 
-base::Result<Story> explain(Lines lines, std::string_view request) {
+base::Result<RequestTrace> explain(Lines lines, std::string_view request) {
   std::vector<LogLine> sorted(lines.begin(), lines.end());
   std::stable_sort(
       sorted.begin(), sorted.end(),
       [](const LogLine &a, const LogLine &b) { return a.TimeMs < b.TimeMs; });
-  std::vector<LogLine> own;
+  std::vector<LogLine> requestLines;
   for (const LogLine &line : sorted)
     if (line.text("request") == request)
-      own.push_back(line);
-  if (own.empty())
+      requestLines.push_back(line);
+  if (requestLines.empty())
     return base::Error{base::ErrorCode::NotFound, std::string(request),
                        "no line of these logs names this request"};
-  const Scope scope = scopeOf(own);
-  Story story;
+  const Scope scope = makeScope(requestLines);
+  RequestTrace trace;
   for (const LogLine &line : sorted)
-    if (line.text("request") == request || scope.holds(line))
-      story.Lines.push_back(line);
-  story.Cause = causeOf(sorted, own, story.Lines);
-  return story;
+    if (line.text("request") == request || scope.contains(line))
+      trace.Lines.push_back(line);
+  trace.Cause = causeOf(sorted, requestLines, trace.Lines);
+  return trace;
 }
 
 std::string toText(const LogLine &line) {
--- a/src/ctl/explain.h
+++ b/src/ctl/explain.h
@@ -33,7 +33,7 @@
 std::optional<LogLine> parseLogLine(std::string_view line);
 
 /// What happened to a request.
-struct Story {
+struct RequestTrace {
   /// Its own lines, and those of its servers and processes around them, in
   /// order of time.
   std::vector<LogLine> Lines;
@@ -42,8 +42,8 @@
 };
 
 /// Finds the story of a request; NotFound when no line names it.
-base::Result<Story> explain(std::span<const LogLine> lines,
-                            std::string_view request);
+base::Result<RequestTrace> explain(std::span<const LogLine> lines,
+                                   std::string_view request);
 
 /// Returns a line as people read it: time, process, event, fields.
 std::string toText(const LogLine &line);
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -37,9 +37,9 @@
     "--control_key\n"
     "  explain REQUEST FILE...   tell a request's story from logs of gateways";
 
-int runBundle(ctl::Words words) {
-  const std::string verb = words.empty() ? "" : words[0];
-  const ctl::Words rest = words.empty() ? words : words.subspan(1);
+int runBundle(ctl::Arguments args) {
+  const std::string verb = args.empty() ? "" : args[0];
+  const ctl::Arguments rest = args.empty() ? args : args.subspan(1);
   if (verb == "check")
     return ctl::checkBundle(rest);
   if (verb == "diff")
@@ -47,12 +47,12 @@
   if (verb == "sign")
     return ctl::signBundle(rest, FLAGS_role, FLAGS_key, FLAGS_out);
   if (verb != "roll-out" && verb != "status")
-    return ctl::fail(
+    return ctl::reportError(
         base::invalid("bundle " + verb, "unknown; --help lists the commands"),
-        ctl::ExitWrongCall);
+        ctl::ExitUsage);
   const auto platform = base::parseEndpoint("--platform", FLAGS_platform);
   if (!ok(platform))
-    return ctl::fail(error(platform), ctl::ExitWrongCall);
+    return ctl::reportError(error(platform), ctl::ExitUsage);
   if (verb == "roll-out")
     return ctl::rollOut(rest, value(platform));
   return ctl::status(value(platform), FLAGS_control_key, FLAGS_json);
@@ -62,23 +62,23 @@
 
 int main(int argc, char **argv) {
   if (sodium_init() < 0)
-    return ctl::ExitWrongCall;
+    return ctl::ExitUsage;
   const auto read = base::readSettings(argc, argv, Synopsis, Flags);
   if (!ok(read))
     base::exitOnBadSettings(error(read));
-  const ctl::Words words = value(read);
-  const std::string verb = words.empty() ? "" : words[0];
+  const ctl::Arguments args = value(read);
+  const std::string verb = args.empty() ? "" : args[0];
   if (verb == "keygen")
-    return ctl::keygen(words.subspan(1));
+    return ctl::keygen(args.subspan(1));
   if (verb == "control-key")
     return ctl::controlKey();
   if (verb == "credential")
     return ctl::credential();
   if (verb == "explain")
-    return ctl::explainRequest(words.subspan(1));
+    return ctl::explainRequest(args.subspan(1));
   if (verb == "bundle")
-    return runBundle(words.subspan(1));
-  return ctl::fail(base::invalid(verb.empty() ? "drumlandingctl" : verb,
-                                 "no such command; --help lists them"),
-                   ctl::ExitWrongCall);
+    return runBundle(args.subspan(1));
+  return ctl::reportError(base::invalid(verb.empty() ? "drumlandingctl" : verb,
+                                        "no such command; --help lists them"),
+                          ctl::ExitUsage);
 }
--- a/src/ctl/roll-out.cc
+++ b/src/ctl/roll-out.cc
@@ -22,11 +22,11 @@
 using base::Result;
 using Json = nlohmann::json;
 
-constexpr base::milliseconds AskLimit{2'000};
+constexpr base::milliseconds CallTimeout{2'000};
 constexpr std::size_t ShownKeyDigits = 8;
 
 /// Runs one coroutine to its end.
-template <typename T> T runToEnd(asio::awaitable<T> work) {
+template <typename T> T runBlocking(asio::awaitable<T> work) {
   asio::io_context io;
   std::future<T> future = asio::co_spawn(io, std::move(work), asio::use_future);
   io.run();
@@ -38,76 +38,77 @@
 }
 
 /// Says who has written the bundle in force and what differs from ours.
-int reportConflict(const std::string &theirs, const std::string &ours) {
-  const auto inForce = bundle::parseSignedBundle(theirs);
-  const auto wanted = bundle::parseSignedBundle(ours);
-  if (!ok(inForce) || !ok(wanted))
-    return fail(ok(inForce) ? error(wanted) : error(inForce));
-  const auto parsed = bundle::parseBundle(value(inForce).Document);
+int reportConflict(const std::string &storedText,
+                   const std::string &proposedText) {
+  const auto current = bundle::parseSignedBundle(storedText);
+  const auto proposed = bundle::parseSignedBundle(proposedText);
+  if (!ok(current) || !ok(proposed))
+    return reportError(ok(current) ? error(proposed) : error(current));
+  const auto parsed = bundle::parseBundle(value(current).Document);
   const unsigned long long version = ok(parsed) ? value(parsed).Version : 0;
   std::fprintf(stderr,
                "not rolled out: version %llu by author %s is in force\n",
-               version, authorOf(value(inForce)).c_str());
+               version, authorOf(value(current)).c_str());
   const auto lines =
-      bundle::diffBundles(value(inForce).Document, value(wanted).Document);
+      bundle::diffBundles(value(current).Document, value(proposed).Document);
   if (ok(lines))
     for (const std::string &line : value(lines))
       std::fprintf(stderr, "  in force -> yours: %s\n", line.c_str());
-  return ExitRefused;
+  return ExitFailure;
 }
 
 asio::awaitable<int> rollOutText(platform::Client client, std::string text,
                                  std::uint64_t version) {
-  const auto held = co_await client.read(platform::BundleKey);
-  if (!ok(held))
-    co_return fail(error(held));
-  if (value(held).Value == text) {
+  const auto stored = co_await client.read(platform::BundleKey);
+  if (!ok(stored))
+    co_return reportError(error(stored));
+  if (value(stored).Value == text) {
     std::printf("version %llu is in force already\n",
                 static_cast<unsigned long long>(version));
-    co_return ExitDone;
+    co_return ExitSuccess;
   }
-  if (value(held).Revision != 0) {
-    const auto signedNow = bundle::parseSignedBundle(value(held).Value);
-    const auto now = ok(signedNow)
-                         ? bundle::parseBundle(value(signedNow).Document)
-                         : Result<bundle::Bundle>(error(signedNow));
-    if (ok(now) && value(now).Version >= version)
-      co_return reportConflict(value(held).Value, text);
+  if (value(stored).Revision != 0) {
+    const auto currentSigned = bundle::parseSignedBundle(value(stored).Value);
+    const auto currentBundle =
+        ok(currentSigned) ? bundle::parseBundle(value(currentSigned).Document)
+                          : Result<bundle::Bundle>(error(currentSigned));
+    if (ok(currentBundle) && value(currentBundle).Version >= version)
+      co_return reportConflict(value(stored).Value, text);
   }
-  const auto swap =
-      co_await client.swap(platform::BundleKey, value(held).Revision, text);
+  const auto swap = co_await client.compareAndSwap(
+      platform::BundleKey, value(stored).Revision, text);
   if (ok(swap) && value(swap).Swapped) {
     std::printf("version %llu is accepted\n",
                 static_cast<unsigned long long>(version));
-    co_return ExitDone;
+    co_return ExitSuccess;
   }
   if (ok(swap))
     co_return reportConflict(value(swap).Current.Value, text);
   // The answer was lost: the value itself tells whether the swap was ours.
-  const auto again = co_await client.read(platform::BundleKey);
-  if (!ok(again)) {
+  const auto reread = co_await client.read(platform::BundleKey);
+  if (!ok(reread)) {
     std::fprintf(stderr,
                  "may be accepted: the platform does not answer (%s); run "
                  "the same command again\n",
-                 describe(error(again)).c_str());
-    co_return ExitRefused;
+                 describe(error(reread)).c_str());
+    co_return ExitFailure;
   }
-  if (value(again).Value != text)
-    co_return reportConflict(value(again).Value, text);
+  if (value(reread).Value != text)
+    co_return reportConflict(value(reread).Value, text);
   std::printf("version %llu is accepted (the answer was lost)\n",
               static_cast<unsigned long long>(version));
-  co_return ExitDone;
+  co_return ExitSuccess;
 }
 
 /// What one process says of itself.
 struct ProcessStatus {
   entry::ListedVm Vm;
-  bool Answers = false;
+  bool IsReachable = false;
   wire::Versions Versions;
 };
 
-std::vector<ProcessStatus> askAll(const std::vector<entry::ListedVm> &vms,
-                                  const wire::ControlKey &key) {
+std::vector<ProcessStatus> queryAll(const std::vector<entry::ListedVm> &vms,
+                                    const wire::ControlKey &key) {
   const auto counters = std::make_shared<wire::LinkCounters>();
   std::vector<std::unique_ptr<wire::Client>> clients;
   std::vector<std::future<Result<wire::Reply>>> replies;
@@ -122,7 +123,7 @@
     wire::Request request;
     request.set_sender("drumlandingctl");
     request.mutable_sync()->set_listed_leaving(vm.IsLeaving);
-    value(client)->call(request, AskLimit, [promise](Result<wire::Reply> r) {
+    value(client)->call(request, CallTimeout, [promise](Result<wire::Reply> r) {
       promise->set_value(std::move(r));
     });
     clients.push_back(std::move(value(client)));
@@ -136,7 +137,7 @@
   return all;
 }
 
-std::string timeText(std::int64_t ms) {
+std::string formatTime(std::int64_t ms) {
   const std::time_t seconds = ms / 1'000;
   return fmt::format("{:%Y-%m-%dT%H:%M:%SZ}", fmt::gmtime(seconds));
 }
@@ -150,14 +151,14 @@
 };
 
 std::map<std::string, PlaceStatus>
-byPlace(const std::vector<ProcessStatus> &all, std::uint64_t accepted) {
+groupByPlace(const std::vector<ProcessStatus> &all, std::uint64_t accepted) {
   std::map<std::string, PlaceStatus> places;
   for (const ProcessStatus &p : all) {
     PlaceStatus &place = places[p.Vm.Place];
     ++place.Processes;
     place.Version = std::max(place.Version, p.Versions.bundle());
     place.SinceMs = std::max(place.SinceMs, p.Versions.bundle_since_ms());
-    if (!p.Answers)
+    if (!p.IsReachable)
       place.Lagging.push_back(p.Vm.Name + " (no answer)");
     else if (p.Versions.bundle() < accepted)
       place.Lagging.push_back(
@@ -172,7 +173,7 @@
     Json json{{"acceptedVersion", accepted}, {"places", Json::object()}};
     for (const auto &[name, p] : places)
       json["places"][name] = {{"version", p.Version},
-                              {"since", timeText(p.SinceMs)},
+                              {"since", formatTime(p.SinceMs)},
                               {"processes", p.Processes},
                               {"lagging", p.Lagging}};
     std::printf("%s\n", json.dump(2).c_str());
@@ -183,7 +184,7 @@
   for (const auto &[name, p] : places) {
     std::printf("%-16s version %llu since %s, %d processes, %zu lagging\n",
                 name.c_str(), static_cast<unsigned long long>(p.Version),
-                timeText(p.SinceMs).c_str(), p.Processes, p.Lagging.size());
+                formatTime(p.SinceMs).c_str(), p.Processes, p.Lagging.size());
     for (const std::string &line : p.Lagging)
       std::printf("  lags: %s\n", line.c_str());
   }
@@ -191,25 +192,26 @@
 
 } // namespace
 
-int rollOut(Words words, const base::Endpoint &platform) {
-  if (words.size() != 1)
-    return fail(base::invalid("bundle roll-out", "one FILE is expected"),
-                ExitWrongCall);
-  const auto read = readBundleFile(words[0]);
+int rollOut(Arguments args, const base::Endpoint &platform) {
+  if (args.size() != 1)
+    return reportError(base::invalid("bundle roll-out", "one FILE is expected"),
+                       ExitUsage);
+  const auto read = readBundleFile(args[0]);
   if (!ok(read))
-    return fail(error(read));
+    return reportError(error(read));
   const bundle::SignedBundle &signedBundle = value(read);
   if (signedBundle.Author.Key.empty() || signedBundle.Approver.Key.empty())
-    return fail(base::invalid(words[0], "needs the signatures of an author "
-                                        "and of an approver"));
+    return reportError(base::invalid(args[0],
+                                     "needs the signatures of an author "
+                                     "and of an approver"));
   // The daemons decide whom they trust; this saves a roll-out in vain.
   const auto verified = bundle::verify(
       signedBundle, {{signedBundle.Author.Key}, {signedBundle.Approver.Key}});
   if (!ok(verified))
-    return fail(error(verified));
-  return runToEnd(rollOutText(platform::Client(platform),
-                              bundle::serialise(signedBundle),
-                              value(verified).Version));
+    return reportError(error(verified));
+  return runBlocking(rollOutText(platform::Client(platform),
+                                 bundle::serialise(signedBundle),
+                                 value(verified).Version));
 }
 
 int status(const base::Endpoint &platform, const std::string &controlKey,
@@ -217,25 +219,26 @@
   constexpr std::size_t KeyBytes = 32;
   const auto key = base::parseHex("--control_key", controlKey, KeyBytes);
   if (!ok(key))
-    return fail(error(key), ExitWrongCall);
+    return reportError(error(key), ExitUsage);
   const platform::Client client(platform);
-  const auto vms = runToEnd(client.vms());
+  const auto vms = runBlocking(client.listVms());
   if (!ok(vms))
-    return fail(error(vms));
-  const auto held = runToEnd(client.read(platform::BundleKey));
+    return reportError(error(vms));
+  const auto stored = runBlocking(client.read(platform::BundleKey));
   std::uint64_t accepted = 0;
-  if (ok(held) && value(held).Revision != 0) {
-    const auto inForce = bundle::parseSignedBundle(value(held).Value);
-    if (ok(inForce))
-      if (const auto b = bundle::parseBundle(value(inForce).Document); ok(b))
+  if (ok(stored) && value(stored).Revision != 0) {
+    const auto current = bundle::parseSignedBundle(value(stored).Value);
+    if (ok(current))
+      if (const auto b = bundle::parseBundle(value(current).Document); ok(b))
         accepted = value(b).Version;
   }
-  const auto places = byPlace(askAll(value(vms), {value(key)}), accepted);
+  const auto places =
+      groupByPlace(queryAll(value(vms), {value(key)}), accepted);
   print(places, accepted, asJson);
   for (const auto &[name, p] : places)
     if (!p.Lagging.empty())
-      return ExitRefused;
-  return ExitDone;
+      return ExitFailure;
+  return ExitSuccess;
 }
 
 } // namespace drumlanding::ctl
--- a/src/ctl/roll-out.h
+++ b/src/ctl/roll-out.h
@@ -7,7 +7,7 @@
 namespace drumlanding::ctl {
 
 /// bundle roll-out FILE: puts a signed bundle in force by compare-and-swap.
-int rollOut(Words words, const base::Endpoint &platform);
+int rollOut(Arguments args, const base::Endpoint &platform);
 
 /// bundle status: which version is in force, per place, and who lags.
 int status(const base::Endpoint &platform, const std::string &controlKey,
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -32,10 +32,10 @@
 
 Result<DaemonSettings>
 readDaemonSettings(int argc, char **argv, std::string_view synopsis,
-                   std::span<const std::string_view> extra) {
+                   std::span<const std::string_view> extraFlags) {
   std::vector<std::string_view> flags(std::begin(DaemonFlags),
                                       std::end(DaemonFlags));
-  flags.insert(flags.end(), extra.begin(), extra.end());
+  flags.insert(flags.end(), extraFlags.begin(), extraFlags.end());
   const auto process = readProcessSettings(argc, argv, synopsis, flags);
   if (!ok(process))
     return error(process);
--- a/src/daemon/process.cc
+++ b/src/daemon/process.cc
@@ -26,7 +26,7 @@
 constexpr std::string_view ProcessFlags[] = {
     "name",       "place",          "failure_domain",  "log_level",
     "log_format", "worker_threads", "fatal_invariants"};
-constexpr int MostWorkers = 64;
+constexpr int MaxWorkers = 64;
 
 Result<base::Done> setUpLogging() {
   constexpr std::string_view Levels[] = {"debug", "info", "warning", "error"};
@@ -39,9 +39,9 @@
   if (FLAGS_log_format != "text" && FLAGS_log_format != "json")
     return base::invalid("--log_format", "value '" + FLAGS_log_format +
                                              "' is not text or json");
-  base::setUpLogs(static_cast<base::LogLevel>(it - std::begin(Levels)),
-                  FLAGS_log_format == "json" ? base::LogFormat::JsonLines
-                                             : base::LogFormat::Text);
+  base::configureLogging(static_cast<base::LogLevel>(it - std::begin(Levels)),
+                         FLAGS_log_format == "json" ? base::LogFormat::JsonLines
+                                                    : base::LogFormat::Text);
   return base::Done{};
 }
 
@@ -51,7 +51,7 @@
         std::pair("--failure_domain", FLAGS_failure_domain)})
     if (auto r = base::checkName(flag, text); !ok(r))
       return r;
-  if (FLAGS_worker_threads < 1 || FLAGS_worker_threads > MostWorkers)
+  if (FLAGS_worker_threads < 1 || FLAGS_worker_threads > MaxWorkers)
     return base::invalid("--worker_threads",
                          "value '" + std::to_string(FLAGS_worker_threads) +
                              "' is not from 1 to 64");
@@ -62,18 +62,18 @@
 
 Result<ProcessSettings>
 readProcessSettings(int argc, char **argv, std::string_view synopsis,
-                    std::span<const std::string_view> extra) {
+                    std::span<const std::string_view> extraFlags) {
   if (sodium_init() < 0)
     return base::invalid("libsodium", "cannot be initialised");
   std::vector<std::string_view> allowed(std::begin(ProcessFlags),
                                         std::end(ProcessFlags));
-  allowed.insert(allowed.end(), extra.begin(), extra.end());
-  const auto words = base::readSettings(argc, argv, synopsis, allowed);
-  if (!ok(words))
-    return error(words);
-  if (!value(words).empty())
-    return base::invalid(value(words)[0], "unknown word; --help lists the "
-                                          "flags");
+  allowed.insert(allowed.end(), extraFlags.begin(), extraFlags.end());
+  const auto positional = base::readSettings(argc, argv, synopsis, allowed);
+  if (!ok(positional))
+    return error(positional);
+  if (!value(positional).empty())
+    return base::invalid(value(positional)[0], "unknown word; --help lists the "
+                                               "flags");
   if (auto r = setUpLogging(); !ok(r))
     return error(r);
   if (auto r = checkIdentity(); !ok(r))
@@ -84,8 +84,8 @@
 }
 
 std::optional<http::Response>
-operatorsPage(const http::Request &request, base::Metrics &metrics,
-              const std::function<bool()> &isReady) {
+handleOperatorRequest(const http::Request &request, base::Metrics &metrics,
+                      const std::function<bool()> &isReady) {
   if (request.Method != "GET")
     return std::nullopt;
   if (request.path() == "/metrics")
--- a/src/entry/api.cc
+++ b/src/entry/api.cc
@@ -174,10 +174,10 @@
 
 std::string refusalJson(const Refusal &why, std::string_view detail) {
   const std::string_view sentence =
-      detail.empty() ? base::explain(why.Why) : detail;
+      detail.empty() ? base::describe(why.Reason) : detail;
   return Json{{"error",
                {{"verdict", toString(why.Outcome)},
-                {"reason", toString(why.Why)},
+                {"reason", toString(why.Reason)},
                 {"message", sentence},
                 {"retryAfterMs", why.RetryAfter.count()}}}}
       .dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -185,12 +185,12 @@
 
 http::Response refusalResponse(const Refusal &why, std::string_view detail) {
   http::Response response;
-  response.Status = base::httpStatus(why.Why);
+  response.Status = base::httpStatus(why.Reason);
   response.ContentType = "application/json";
   response.Body = refusalJson(why, detail) + "\n";
   response.Headers = {
       {"Drumlanding-Verdict", std::string(toString(why.Outcome))},
-      {"Drumlanding-Reason", std::string(toString(why.Why))}};
+      {"Drumlanding-Reason", std::string(toString(why.Reason))}};
   if (why.RetryAfter.count() > 0)
     response.Headers.push_back(
         {"Retry-After", std::to_string((why.RetryAfter.count() + 999) / 1000)});
--- a/src/entry/core-attempts.cc
+++ b/src/entry/core-attempts.cc
@@ -262,7 +262,7 @@
 void Core::retryOrGiveUp(base::Now now, Session &s, Refusal why) {
   s.MayHaveRun = s.MayHaveRun || why.Outcome == Verdict::MayHaveRun;
   const bool isBehind =
-      why.Why == Reason::BundleBehind || why.Why == Reason::SenderBehind;
+      why.Reason == Reason::BundleBehind || why.Reason == Reason::SenderBehind;
   if (isBehind && s.CatchUps < MostCatchUps) {
     catchUp(now, s, why);
     return;
@@ -274,8 +274,8 @@
       (why.Outcome == Verdict::MayHaveRun && isRepeatable && s.NextIndex == 0);
   // Only the owner may run it, so another try would be the same one.
   const bool hasOneOwner = s.Call && !s.Call->Repeatable;
-  const bool isFinal =
-      why.Why == Reason::Cancelled || why.Why == Reason::UnknownOrganisation;
+  const bool isFinal = why.Reason == Reason::Cancelled ||
+                       why.Reason == Reason::UnknownOrganisation;
   if (!isSafe || hasOneOwner || isFinal || s.Tries >= MostTries) {
     giveUp(now, s, why);
     return;
@@ -286,7 +286,7 @@
   }
   note("entry.retry",
        fmt::format("retry request={} verdict={} reason={}", s.RequestId,
-                   toString(why.Outcome), toString(why.Why)));
+                   toString(why.Outcome), toString(why.Reason)));
   s.Tried.push_back(s.Server);
   unfollow(s);
   attempt(now, s);
@@ -298,7 +298,7 @@
   s.State = Phase::Backoff;
   s.RetryAt = now.Steady + CatchUpWait;
   note("entry.retry", fmt::format("wait request={} reason={}", s.RequestId,
-                                  toString(why.Why)));
+                                  toString(why.Reason)));
 }
 
 void Core::onAttachReply(base::Now now, Session &s,
--- a/src/entry/core.cc
+++ b/src/entry/core.cc
@@ -136,7 +136,7 @@
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
-  if (const Refusal why = checkGeneration(e, *o); why.Why != Reason::None) {
+  if (const Refusal why = checkGeneration(e, *o); why.Reason != Reason::None) {
     Out.push_back(RefuseSession{e.Session, why});
     return;
   }
@@ -154,7 +154,7 @@
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
-  if (const Refusal why = checkCall(now, e, *o); why.Why != Reason::None) {
+  if (const Refusal why = checkCall(now, e, *o); why.Reason != Reason::None) {
     Out.push_back(RefuseSession{e.Session, why});
     return;
   }
@@ -233,10 +233,10 @@
                   why.Outcome != Verdict::NotRun || s.NextIndex == 0 ||
                       !s.Generation,
                   s.RequestId);
-  count("drumlanding_refusals_total", "reason", toString(why.Why));
+  count("drumlanding_refusals_total", "reason", toString(why.Reason));
   note("entry.end",
        fmt::format("end request={} verdict={} reason={}", s.RequestId,
-                   toString(why.Outcome), toString(why.Why)));
+                   toString(why.Outcome), toString(why.Reason)));
   if (s.Begun)
     Out.push_back(EndStream{s.Id, why});
   else
--- a/src/entry/plan-keeper.cc
+++ b/src/entry/plan-keeper.cc
@@ -64,8 +64,8 @@
   const auto lease = co_await Platform.grantLease(LeaseTime);
   if (!ok(lease))
     co_return;
-  const auto swap =
-      co_await Platform.swap(platform::PlanLeaseKey, 0, Name, value(lease));
+  const auto swap = co_await Platform.compareAndSwap(platform::PlanLeaseKey, 0,
+                                                     Name, value(lease));
   if (!ok(swap) || !value(swap).Swapped)
     co_return;
   Lease = value(lease);
@@ -94,7 +94,7 @@
     co_return;
   next.Author = Name;
   next.Nonce = base::secureRandom64();
-  const auto swap = co_await Platform.swap(
+  const auto swap = co_await Platform.compareAndSwap(
       platform::PlanKey, value(held).Revision, plan::serialise(next));
   if (!ok(swap))
     // It may have taken effect: the next round reads and goes on from there.
--- a/src/entry/shell.cc
+++ b/src/entry/shell.cc
@@ -114,7 +114,8 @@
   s.Control = std::move(value(control));
   http::ServerOptions http;
   http.Limits.MaxBodyBytes = LargestBody;
-  http.TooLarge = refusalResponse({Verdict::NotRun, Reason::BodyTooLarge, {}});
+  http.BodyTooLarge =
+      refusalResponse({Verdict::NotRun, Reason::BodyTooLarge, {}});
   http.Malformed =
       refusalResponse({Verdict::NotRun, Reason::MalformedRequest, {}});
   auto callers =
@@ -204,7 +205,7 @@
     const std::lock_guard guard(CoreLock);
     return TheCore->isReady();
   };
-  if (auto page = daemon::operatorsPage(request, Metrics, isReady)) {
+  if (auto page = daemon::handleOperatorRequest(request, Metrics, isReady)) {
     co_await x.send(std::move(*page));
     co_return;
   }
@@ -228,7 +229,7 @@
     id = NextSession++;
     Mailboxes.emplace(id, mailbox);
   }
-  x.onGone([this, id] {
+  x.onDisconnect([this, id] {
     asio::post(Runtime.io(), [this, id] { dispatch(SessionClosed{id}); });
   });
   bool wantsEvents = true;
@@ -357,7 +358,7 @@
 
 asio::awaitable<void> Shell::listLoop() {
   for (;;) {
-    auto vms = co_await Platform.vms();
+    auto vms = co_await Platform.listVms();
     if (ok(vms)) {
       {
         const std::lock_guard guard(CoreLock);
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -34,7 +34,7 @@
       std::make_shared<Forwarding>(W, W.Words.ReadRequest(std::move(http)));
   f->ReceivedAt = W.now();
   if (W.IsLeaving)
-    x.closeAfter();
+    x.closeAfterResponse();
   if (auto answer = admit(*f)) {
     W.Words.MarkAnswer(f->Request, *answer);
     logEnd(*f, answer->Status, "not admitted");
@@ -44,7 +44,7 @@
   ++W.Open;
   f->startLimit();
   std::weak_ptr<Forwarding> weak = f;
-  x.onGone([weak] {
+  x.onDisconnect([weak] {
     const auto forwarding = weak.lock();
     if (!forwarding)
       return;
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -159,7 +159,7 @@
   if (verdict == Verdict::NotRun)
     response.Status = NotRunStatus;
   response.ContentType = "text/plain";
-  response.Body = std::string(base::explain(why)) + "\n";
+  response.Body = std::string(base::describe(why)) + "\n";
   if (verdict == Verdict::NotRun)
     response.Headers.push_back(
         {"Retry-After",
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -95,7 +95,7 @@
                                           const http::Request &request) {
   setGauges(world);
   const auto isReady = [&world] { return world.isReady(); };
-  return daemon::operatorsPage(request, world.Metrics, isReady);
+  return daemon::handleOperatorRequest(request, world.Metrics, isReady);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -301,22 +301,22 @@
 
 asio::awaitable<void> Gossip::fetchConfig(Peer from) {
   http::Request request{"GET", std::string(ConfigPath), {}, {}};
-  http::Fetched fetched =
+  http::FetchResult fetched =
       co_await http::fetch(from.Address, std::move(request), FetchLimit);
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != Fine) {
+  if (!ok(fetched.Outcome) || value(fetched.Outcome).Status != Fine) {
     fetchFailed(from, "config");
     co_return;
   }
-  W.takeConfig(std::move(value(fetched.Answer).Body), from.Name);
+  W.takeConfig(std::move(value(fetched.Outcome).Body), from.Name);
 }
 
 asio::awaitable<void> Gossip::fetchServers(Peer from) {
   http::Request request{"GET", std::string(ServersPath), {}, {}};
-  http::Fetched fetched =
+  http::FetchResult fetched =
       co_await http::fetch(from.Address, std::move(request), FetchLimit);
   wire::ServerList list;
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != Fine ||
-      !list.ParseFromString(value(fetched.Answer).Body)) {
+  if (!ok(fetched.Outcome) || value(fetched.Outcome).Status != Fine ||
+      !list.ParseFromString(value(fetched.Outcome).Body)) {
     fetchFailed(from, "servers");
     co_return;
   }
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -1,7 +1,7 @@
 // drumlanding-gateway: takes callers' HTTP requests and brings them straight to
 // backend servers, by the operators' routes.
-#include "platform/dialect.h"
-#include "platform/source.h"
+#include "platform/protocol-codec.h"
+#include "platform/store-reader.h"
 #include "shell.h"
 
 #include "drumlanding/daemon/process.h"
@@ -187,9 +187,9 @@
   std::signal(SIGPIPE, SIG_IGN);
   const platform::Store store(value(settings).Store);
   const base::SystemClock clock;
-  auto shell =
-      gateway::Shell::start(io, clock, value(settings), platform::makeDialect(),
-                            platform::makeSource(store));
+  auto shell = gateway::Shell::start(io, clock, value(settings),
+                                     platform::makeProtocolCodec(),
+                                     platform::makeStoreReader(store));
   if (!ok(shell))
     base::exitOnBadSettings(error(shell));
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
--- a/src/gateway/mover.cc
+++ b/src/gateway/mover.cc
@@ -148,9 +148,9 @@
                         isLast};
   http::Request request = W.Words.ToMove(order);
   const base::Instant asked = W.now();
-  http::Fetched fetched = co_await http::fetch(source.Listed.Address,
-                                               std::move(request), CopyLimit);
-  const MoveAnswer answer = W.Words.ReadMove(fetched.Answer);
+  http::FetchResult fetched = co_await http::fetch(
+      source.Listed.Address, std::move(request), CopyLimit);
+  const MoveAnswer answer = W.Words.ReadMove(fetched.Outcome);
   countMove(W.Metrics, isLast ? "copied last" : "copied",
             answer.What == Outcome::Copied);
   W.Log.write("move-copied", {{"request", run->F.Request.AttemptId},
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -136,7 +136,7 @@
   W.IsLeaving = true;
   W.LeavingSince = W.now();
   W.Log.write("stopping", {{"open", W.Open}});
-  Callers->closeAfterAnswers();
+  Callers->closeAfterResponses();
   asio::co_spawn(W.Io, windDown(), asio::detached);
 }
 
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -15,7 +15,7 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t LargestAnswer = 8 << 20;
+constexpr std::size_t MaxResponseBytes = 8 << 20;
 
 beast::http::request<beast::http::string_body>
 toMessage(const base::Endpoint &to, Request request) {
@@ -32,7 +32,7 @@
   return message;
 }
 
-template <typename Message> std::vector<Header> headersOf(const Message &m) {
+template <typename Message> std::vector<Header> copyHeaders(const Message &m) {
   std::vector<Header> headers;
   for (const auto &field : m.base())
     headers.push_back(
@@ -40,9 +40,9 @@
   return headers;
 }
 
-base::Error failure(const base::Endpoint &to, const error_code &ec) {
-  const bool late = ec == beast::error::timeout;
-  return {late ? base::ErrorCode::TimedOut : base::ErrorCode::Unavailable,
+base::Error toError(const base::Endpoint &to, const error_code &ec) {
+  const bool isTimeout = ec == beast::error::timeout;
+  return {isTimeout ? base::ErrorCode::TimedOut : base::ErrorCode::Unavailable,
           base::toString(to), ec.message()};
 }
 
@@ -63,90 +63,90 @@
 class EventParser {
 public:
   /// Calls `each` for every event completed by `bytes`; false when it ends.
-  bool feed(std::string_view bytes, const EventHandler &each) {
-    Rest += bytes;
+  bool feed(std::string_view bytes, const EventHandler &onEvent) {
+    Pending += bytes;
     std::size_t from = 0;
     for (;;) {
-      const auto end = Rest.find('\n', from);
+      const auto end = Pending.find('\n', from);
       if (end == std::string::npos)
         break;
-      std::string_view line(Rest.data() + from, end - from);
+      std::string_view line(Pending.data() + from, end - from);
       from = end + 1;
       if (line.ends_with('\r'))
         line.remove_suffix(1);
-      if (!take(line, each))
+      if (!processLine(line, onEvent))
         return false;
     }
-    Rest.erase(0, from);
+    Pending.erase(0, from);
     return true;
   }
 
 private:
-  bool take(std::string_view line, const EventHandler &each) {
+  bool processLine(std::string_view line, const EventHandler &onEvent) {
     if (line.empty()) {
       const bool isEvent = !Current.Data.empty() || !Current.Name.empty();
-      const bool goOn = !isEvent || each(Current);
+      const bool shouldContinue = !isEvent || onEvent(Current);
       Current = ServerEvent();
-      return goOn;
+      return shouldContinue;
     }
-    const auto valueOf = [&](std::string_view field) {
+    const auto fieldValue = [&](std::string_view field) {
       line.remove_prefix(field.size());
       if (line.starts_with(' '))
         line.remove_prefix(1);
       return std::string(line);
     };
     if (line.starts_with("id:"))
-      Current.Id = valueOf("id:");
+      Current.Id = fieldValue("id:");
     else if (line.starts_with("event:"))
-      Current.Name = valueOf("event:");
+      Current.Name = fieldValue("event:");
     else if (line.starts_with("data:"))
-      Current.Data += valueOf("data:");
+      Current.Data += fieldValue("data:");
     return true;
   }
 
-  std::string Rest;
+  std::string Pending;
   ServerEvent Current;
 };
 
 } // namespace
 
-asio::awaitable<Fetched> fetch(base::Endpoint to, Request request,
-                               base::milliseconds timeout) {
+asio::awaitable<FetchResult> fetch(base::Endpoint to, Request request,
+                                   base::milliseconds timeout) {
   beast::tcp_stream stream(co_await asio::this_coro::executor);
   stream.expires_after(timeout);
   if (const error_code ec = co_await connect(stream, to); ec)
-    co_return Fetched{false, failure(to, ec)};
+    co_return FetchResult{false, toError(to, ec)};
   auto message = toMessage(to, std::move(request));
   error_code ec;
   co_await beast::http::async_write(stream, message,
                                     asio::redirect_error(use_awaitable, ec));
   if (ec)
-    co_return Fetched{true, failure(to, ec)};
+    co_return FetchResult{true, toError(to, ec)};
   beast::flat_buffer buffer;
   beast::http::response_parser<beast::http::string_body> parser;
-  parser.body_limit(LargestAnswer);
+  parser.body_limit(MaxResponseBytes);
   co_await beast::http::async_read(stream, buffer, parser,
                                    asio::redirect_error(use_awaitable, ec));
   if (ec)
-    co_return Fetched{true, failure(to, ec)};
-  auto answer = parser.release();
+    co_return FetchResult{true, toError(to, ec)};
+  auto parsed = parser.release();
   Response response;
-  response.Status = static_cast<int>(answer.result_int());
-  response.ContentType = std::string(answer[beast::http::field::content_type]);
-  response.Headers = headersOf(answer);
-  response.Body = std::move(answer.body());
-  co_return Fetched{true, std::move(response)};
+  response.Status = static_cast<int>(parsed.result_int());
+  response.ContentType = std::string(parsed[beast::http::field::content_type]);
+  response.Headers = copyHeaders(parsed);
+  response.Body = std::move(parsed.body());
+  co_return FetchResult{true, std::move(response)};
 }
 
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
                                   base::milliseconds idleLimit,
-                                  EventHandler onEvent, HeadHandler onHead) {
+                                  EventHandler onEvent, HeadersHandler onHead) {
   StreamEnd end;
   beast::tcp_stream stream(co_await asio::this_coro::executor);
   stream.expires_after(idleLimit);
   if (const error_code ec = co_await connect(stream, to); ec)
     co_return end;
-  end.Reached = true;
+  end.IsConnected = true;
   auto message = toMessage(to, std::move(request));
   error_code ec;
   co_await beast::http::async_write(stream, message,
@@ -161,11 +161,11 @@
     co_return end;
   end.Status = static_cast<int>(parser.get().result_int());
   if (onHead)
-    onHead(headersOf(parser.get()));
+    onHead(copyHeaders(parser.get()));
   EventParser events;
   std::array<char, 16 << 10> chunk{};
-  bool goOn = true;
-  while (!parser.is_done() && goOn) {
+  bool shouldContinue = true;
+  while (!parser.is_done() && shouldContinue) {
     parser.get().body().data = chunk.data();
     parser.get().body().size = chunk.size();
     stream.expires_after(idleLimit);
@@ -176,13 +176,13 @@
     const std::size_t n = chunk.size() - parser.get().body().size;
     const std::string_view bytes(chunk.data(), n);
     if (end.Status == 200)
-      goOn = events.feed(bytes, onEvent);
+      shouldContinue = events.feed(bytes, onEvent);
     else
       end.Body += bytes;
     if (ec)
       break;
   }
-  end.Whole = goOn && parser.is_done() && !ec;
+  end.IsComplete = shouldContinue && parser.is_done() && !ec;
   stream.socket().shutdown(tcp::socket::shutdown_both, ec);
   co_return end;
 }
--- a/src/http/connection.cc
+++ b/src/http/connection.cc
@@ -21,17 +21,17 @@
 using boost::system::error_code;
 
 /// Most bytes of a body that one read returns.
-constexpr std::size_t PieceBytes = 16 << 10;
+constexpr std::size_t MaxReadBytes = 16 << 10;
 /// Headers of a server's answer.
-constexpr std::uint32_t LargestHead = 32 << 10;
+constexpr std::uint32_t MaxHeadBytes = 32 << 10;
 
-base::Error failure(const base::Endpoint &to, const error_code &ec) {
-  const bool late = ec == beast::error::timeout;
-  return {late ? base::ErrorCode::TimedOut : base::ErrorCode::Unavailable,
+base::Error toError(const base::Endpoint &to, const error_code &ec) {
+  const bool isTimeout = ec == beast::error::timeout;
+  return {isTimeout ? base::ErrorCode::TimedOut : base::ErrorCode::Unavailable,
           base::toString(to), ec.message()};
 }
 
-std::string toText(const Request &request) {
+std::string serialise(const Request &request) {
   std::string text = request.Method + " " + request.Target + " HTTP/1.1\r\n";
   for (const Header &h : request.Headers)
     text += h.Name + ": " + h.Value + "\r\n";
@@ -45,11 +45,11 @@
 class TcpConnection final : public Connection {
 public:
   TcpConnection(base::Endpoint to, beast::tcp_stream stream)
-      : To(std::move(to)), Stream(std::move(stream)) {}
+      : Peer(std::move(to)), Stream(std::move(stream)) {}
 
   void send(const Request &request) override {
-    IsHead = request.Method == "HEAD";
-    auto text = std::make_shared<std::string>(toText(request));
+    IsHeadRequest = request.Method == "HEAD";
+    auto text = std::make_shared<std::string>(serialise(request));
     asio::async_write(
         Stream.socket(), asio::buffer(*text),
         [self = shared_from_this(), text](error_code, std::size_t) {
@@ -57,17 +57,17 @@
         });
   }
 
-  asio::awaitable<Result<AnswerHead>> readHead() override {
+  asio::awaitable<Result<ResponseHead>> readHead() override {
     Parser.emplace();
-    Parser->header_limit(LargestHead);
+    Parser->header_limit(MaxHeadBytes);
     Parser->body_limit(boost::none);
-    Parser->skip(IsHead);
+    Parser->skip(IsHeadRequest);
     error_code ec;
     co_await beast::http::async_read_header(
         Stream, Buffer, *Parser, asio::redirect_error(use_awaitable, ec));
     if (ec)
-      co_return failure(To, ec);
-    AnswerHead head;
+      co_return toError(Peer, ec);
+    ResponseHead head;
     head.Status = static_cast<int>(Parser->get().result_int());
     for (const auto &field : Parser->get().base())
       head.Headers.push_back(
@@ -76,22 +76,22 @@
   }
 
   asio::awaitable<Result<std::string>> read() override {
-    std::string piece;
-    while (piece.empty() && !Parser->is_done()) {
-      piece.resize(PieceBytes);
-      Parser->get().body().data = piece.data();
-      Parser->get().body().size = piece.size();
+    std::string chunk;
+    while (chunk.empty() && !Parser->is_done()) {
+      chunk.resize(MaxReadBytes);
+      Parser->get().body().data = chunk.data();
+      Parser->get().body().size = chunk.size();
       error_code ec;
       co_await beast::http::async_read_some(
           Stream, Buffer, *Parser, asio::redirect_error(use_awaitable, ec));
-      piece.resize(piece.size() - Parser->get().body().size);
+      chunk.resize(chunk.size() - Parser->get().body().size);
       if (ec == beast::http::error::need_buffer)
         ec = {};
-      if (ec && piece.empty())
-        co_return failure(To, ec);
+      if (ec && chunk.empty())
+        co_return toError(Peer, ec);
       // What came before the error counts; the next read meets it again.
     }
-    co_return piece;
+    co_return chunk;
   }
 
   void close() override {
@@ -102,11 +102,11 @@
 private:
   using BodyParser = beast::http::response_parser<beast::http::buffer_body>;
 
-  base::Endpoint To;
+  base::Endpoint Peer;
   beast::tcp_stream Stream;
   beast::flat_buffer Buffer;
   std::optional<BodyParser> Parser;
-  bool IsHead = false;
+  bool IsHeadRequest = false;
 };
 
 } // namespace
@@ -125,7 +125,7 @@
   return it == headers.end() ? std::string_view() : it->Value;
 }
 
-std::string_view AnswerHead::header(std::string_view name) const {
+std::string_view ResponseHead::header(std::string_view name) const {
   return findHeader(Headers, name);
 }
 
@@ -135,17 +135,17 @@
   error_code ec;
   const auto address = asio::ip::make_address(to.Address, ec);
   if (ec)
-    co_return failure(to, ec);
+    co_return toError(to, ec);
   stream.expires_after(limit);
   co_await stream.async_connect(tcp::endpoint(address, to.Port),
                                 asio::redirect_error(use_awaitable, ec));
   if (ec)
-    co_return failure(to, ec);
+    co_return toError(to, ec);
   stream.expires_never();
   setSocketOptions(stream.socket());
-  std::shared_ptr<Connection> made =
+  std::shared_ptr<Connection> connection =
       std::make_shared<TcpConnection>(std::move(to), std::move(stream));
-  co_return made;
+  co_return connection;
 }
 
 } // namespace drumlanding::http
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -32,7 +32,7 @@
 /// Enough for the head and body of most requests.
 constexpr std::size_t FirstReadBytes = 4 << 10;
 
-std::string formatted(const ServerEvent &event) {
+std::string formatEvent(const ServerEvent &event) {
   std::string text;
   if (!event.Id.empty())
     text += "id: " + event.Id + "\n";
@@ -65,12 +65,12 @@
 }
 
 /// One connection's answers.
-class CallerConnection final : public Exchange {
+class HttpExchange final : public Exchange {
 public:
-  CallerConnection(beast::tcp_stream &stream, bool keepAlive,
-                   base::milliseconds writeLimit)
+  HttpExchange(beast::tcp_stream &stream, bool keepAlive,
+               base::milliseconds writeLimit)
       : Stream(stream), KeepAlive(keepAlive), WriteLimit(writeLimit) {}
-  ~CallerConnection() override {
+  ~HttpExchange() override {
     if (!IsWatching)
       return;
     // Only the watch can still be pending here.
@@ -104,14 +104,14 @@
     for (const Header &h : headers)
       head += h.Name + ": " + h.Value + "\r\n";
     KeepAlive = false;
-    watch();
+    watchForDisconnect();
     co_return co_await write(head + "\r\n");
   }
 
   asio::awaitable<bool> events(std::vector<ServerEvent> events) override {
     std::string text;
     for (const ServerEvent &event : events)
-      text += formatted(event);
+      text += formatEvent(event);
     co_return co_await write(std::move(text));
   }
 
@@ -149,12 +149,12 @@
     co_return isSent;
   }
 
-  void closeAfter() override { KeepAlive = false; }
-  void onGone(std::function<void()> gone) override {
-    Gone = std::move(gone);
-    watch();
+  void closeAfterResponse() override { KeepAlive = false; }
+  void onDisconnect(std::function<void()> handler) override {
+    DisconnectHandler = std::move(handler);
+    watchForDisconnect();
   }
-  bool keepsAlive() const { return KeepAlive && !IsBodyOpen; }
+  bool shouldKeepAlive() const { return KeepAlive && !IsBodyOpen; }
 
 private:
   asio::awaitable<bool> write(std::string text) {
@@ -167,7 +167,7 @@
 
   /// Notices when the caller leaves: its socket becomes readable with nothing
   /// to read. Bytes of a next request end the watch.
-  void watch() {
+  void watchForDisconnect() {
     if (IsWatching)
       return;
     IsWatching = true;
@@ -177,15 +177,15 @@
                                  if (alive.expired())
                                    return;
                                  IsWatching = false;
-                                 if (ec || !hasLeft())
+                                 if (ec || !isDisconnected())
                                    return;
                                  KeepAlive = false;
-                                 if (Gone)
-                                   Gone();
+                                 if (DisconnectHandler)
+                                   DisconnectHandler();
                                });
   }
 
-  bool hasLeft() {
+  bool isDisconnected() {
     char byte = 0;
     const auto n = ::recv(Stream.socket().native_handle(), &byte, 1,
                           MSG_PEEK | MSG_DONTWAIT);
@@ -197,7 +197,7 @@
   base::milliseconds WriteLimit;
   bool IsBodyOpen = false;
   bool IsWatching = false;
-  std::function<void()> Gone;
+  std::function<void()> DisconnectHandler;
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
 };
 
@@ -234,55 +234,57 @@
         Handle(std::move(handler)) {}
 
   /// A connection as the server sees it between requests.
-  struct Open {
-    explicit Open(tcp::socket socket) : Stream(std::move(socket)) {}
+  struct ServerConnection {
+    explicit ServerConnection(tcp::socket socket) : Stream(std::move(socket)) {}
     beast::tcp_stream Stream;
     bool IsIdle = true;
   };
-  using OpenPointer = std::shared_ptr<Open>;
+  using ConnectionPointer = std::shared_ptr<ServerConnection>;
   using Parser = beast::http::request_parser<beast::http::string_body>;
 
   asio::awaitable<void> accept();
-  asio::awaitable<void> serve(OpenPointer open);
-  asio::awaitable<bool> serveOne(Open &open, beast::flat_buffer &buffer);
-  asio::awaitable<bool> waitForBytes(Open &open, beast::flat_buffer &buffer,
+  asio::awaitable<void> serve(ConnectionPointer connection);
+  asio::awaitable<bool> serveOne(ServerConnection &connection,
+                                 beast::flat_buffer &buffer);
+  asio::awaitable<bool> waitForBytes(ServerConnection &connection,
+                                     beast::flat_buffer &buffer,
                                      base::milliseconds limit);
-  asio::awaitable<error_code> readRequest(Open &open,
+  asio::awaitable<error_code> readRequest(ServerConnection &connection,
                                           beast::flat_buffer &buffer,
                                           Parser &parser,
                                           const CallerLimits &limits);
-  const Response *answerTo(const error_code &ec) const;
-  void remember(const OpenPointer &open);
-  void forget(const OpenPointer &open);
+  const Response *errorResponse(const error_code &ec) const;
+  void addConnection(const ConnectionPointer &connection);
+  void removeConnection(const ConnectionPointer &connection);
   void closeIdle();
 
   asio::io_context &Io;
   tcp::acceptor Acceptor;
   ServerOptions Options;
   Handler Handle;
-  std::atomic<bool> ClosesAfterAnswers{false};
+  std::atomic<bool> ClosesAfterResponses{false};
   std::mutex Lock;
   /// Guarded by Lock.
-  std::unordered_set<OpenPointer> Connections;
+  std::unordered_set<ConnectionPointer> Connections;
 };
 
-void Server::State::remember(const OpenPointer &open) {
+void Server::State::addConnection(const ConnectionPointer &connection) {
   const std::lock_guard guard(Lock);
-  Connections.insert(open);
+  Connections.insert(connection);
 }
 
-void Server::State::forget(const OpenPointer &open) {
+void Server::State::removeConnection(const ConnectionPointer &connection) {
   const std::lock_guard guard(Lock);
-  Connections.erase(open);
+  Connections.erase(connection);
 }
 
 void Server::State::closeIdle() {
   const std::lock_guard guard(Lock);
-  for (const OpenPointer &open : Connections)
-    asio::post(open->Stream.get_executor(), [open] {
+  for (const ConnectionPointer &connection : Connections)
+    asio::post(connection->Stream.get_executor(), [connection] {
       error_code ec;
-      if (open->IsIdle)
-        open->Stream.socket().close(ec);
+      if (connection->IsIdle)
+        connection->Stream.socket().close(ec);
     });
 }
 
@@ -299,112 +301,117 @@
       continue;
     setSocketOptions(socket);
     auto executor = socket.get_executor();
-    auto open = std::make_shared<Open>(std::move(socket));
-    asio::co_spawn(executor, serve(std::move(open)), asio::detached);
+    auto connection = std::make_shared<ServerConnection>(std::move(socket));
+    asio::co_spawn(executor, serve(std::move(connection)), asio::detached);
   }
 }
 
-asio::awaitable<void> Server::State::serve(OpenPointer open) {
+asio::awaitable<void> Server::State::serve(ConnectionPointer connection) {
   const auto self = shared_from_this();
-  remember(open);
+  addConnection(connection);
   beast::flat_buffer buffer;
-  while (co_await serveOne(*open, buffer)) {
+  while (co_await serveOne(*connection, buffer)) {
   }
-  forget(open);
+  removeConnection(connection);
   error_code ec;
-  open->Stream.socket().shutdown(tcp::socket::shutdown_both, ec);
+  connection->Stream.socket().shutdown(tcp::socket::shutdown_both, ec);
 }
 
-asio::awaitable<bool> Server::State::waitForBytes(Open &open,
+asio::awaitable<bool> Server::State::waitForBytes(ServerConnection &connection,
                                                   beast::flat_buffer &buffer,
                                                   base::milliseconds limit) {
   if (buffer.size() > 0)
     co_return true;
-  open.IsIdle = true;
-  open.Stream.expires_after(limit);
+  connection.IsIdle = true;
+  connection.Stream.expires_after(limit);
   error_code ec;
-  const std::size_t n = co_await open.Stream.async_read_some(
+  const std::size_t n = co_await connection.Stream.async_read_some(
       buffer.prepare(FirstReadBytes), asio::redirect_error(use_awaitable, ec));
   buffer.commit(n);
-  open.IsIdle = false;
+  connection.IsIdle = false;
   co_return !ec;
 }
 
 asio::awaitable<error_code>
-Server::State::readRequest(Open &open, beast::flat_buffer &buffer,
-                           Parser &parser, const CallerLimits &limits) {
+Server::State::readRequest(ServerConnection &connection,
+                           beast::flat_buffer &buffer, Parser &parser,
+                           const CallerLimits &limits) {
   error_code ec;
   parser.header_limit(limits.MaxHeaderBytes);
   parser.body_limit(limits.MaxBodyBytes);
   // A timeout of the stream itself would close it before the answer.
-  asio::steady_timer timer(open.Stream.get_executor(), limits.HeaderLimit);
-  bool isLate = false;
-  timer.async_wait([&open, &isLate](error_code aborted) {
+  asio::steady_timer timer(connection.Stream.get_executor(),
+                           limits.HeaderTimeout);
+  bool isTimeout = false;
+  timer.async_wait([&connection, &isTimeout](error_code aborted) {
     if (aborted)
       return;
-    isLate = true;
-    open.Stream.cancel();
+    isTimeout = true;
+    connection.Stream.cancel();
   });
-  open.Stream.expires_never();
+  connection.Stream.expires_never();
   co_await beast::http::async_read_header(
-      open.Stream, buffer, parser, asio::redirect_error(use_awaitable, ec));
+      connection.Stream, buffer, parser,
+      asio::redirect_error(use_awaitable, ec));
   timer.cancel();
   if (ec)
-    co_return isLate ? error_code(beast::error::timeout) : ec;
+    co_return isTimeout ? error_code(beast::error::timeout) : ec;
   if (isAmbiguous(parser.get()))
     co_return beast::http::make_error_code(
         beast::http::error::bad_transfer_encoding);
-  open.Stream.expires_after(limits.IdleLimit);
+  connection.Stream.expires_after(limits.IdleTimeout);
   if (beast::iequals(parser.get()[beast::http::field::expect],
                      "100-continue")) {
-    const std::string_view goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-    co_await asio::async_write(open.Stream, asio::buffer(goOn),
+    const std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+    co_await asio::async_write(connection.Stream,
+                               asio::buffer(continueResponse),
                                asio::redirect_error(use_awaitable, ec));
     if (ec)
       co_return ec;
   }
-  co_await beast::http::async_read(open.Stream, buffer, parser,
+  co_await beast::http::async_read(connection.Stream, buffer, parser,
                                    asio::redirect_error(use_awaitable, ec));
   co_return ec;
 }
 
 /// Returns what a request that could not be read is answered with; none when
 /// nobody is there to read it.
-const Response *Server::State::answerTo(const error_code &ec) const {
+const Response *Server::State::errorResponse(const error_code &ec) const {
   using beast::http::error;
   if (ec == error::body_limit)
-    return &Options.TooLarge;
+    return &Options.BodyTooLarge;
   if (ec == error::header_limit)
     return &Options.HeaderTooLarge;
   if (ec == beast::error::timeout)
-    return &Options.TooSlow;
+    return &Options.RequestTimeout;
   const bool isMalformed =
       ec.category() == make_error_code(error::bad_method).category();
-  const bool isGone =
+  const bool isDisconnect =
       ec == error::end_of_stream || ec == error::partial_message;
-  return isMalformed && !isGone ? &Options.Malformed : nullptr;
+  return isMalformed && !isDisconnect ? &Options.Malformed : nullptr;
 }
 
-asio::awaitable<bool> Server::State::serveOne(Open &open,
+asio::awaitable<bool> Server::State::serveOne(ServerConnection &connection,
                                               beast::flat_buffer &buffer) {
   const CallerLimits limits =
       Options.CurrentLimits ? Options.CurrentLimits() : Options.Limits;
-  if (!co_await waitForBytes(open, buffer, limits.IdleLimit))
+  if (!co_await waitForBytes(connection, buffer, limits.IdleTimeout))
     co_return false;
   Parser parser;
-  const error_code ec = co_await readRequest(open, buffer, parser, limits);
+  const error_code ec =
+      co_await readRequest(connection, buffer, parser, limits);
   const bool keepAlive = !ec && parser.get().keep_alive();
-  CallerConnection connection(open.Stream, keepAlive, limits.IdleLimit);
+  HttpExchange exchange(connection.Stream, keepAlive, limits.IdleTimeout);
   if (ec) {
-    if (const Response *answer = answerTo(ec))
-      co_await connection.send(*answer);
+    if (const Response *response = errorResponse(ec))
+      co_await exchange.send(*response);
     co_return false;
   }
-  open.Stream.expires_never();
-  if (ClosesAfterAnswers)
-    connection.closeAfter();
-  co_await Handle(toRequest(parser.release()), connection);
-  co_return connection.keepsAlive();
+  connection.Stream.expires_never();
+  if (ClosesAfterResponses)
+    exchange.closeAfterResponse();
+  co_await Handle(toRequest(parser.release()), exchange);
+  co_return exchange.shouldKeepAlive();
 }
 
 base::Result<std::unique_ptr<Server>>
@@ -438,7 +445,7 @@
   });
 }
 
-void Server::closeAfterAnswers() { S->ClosesAfterAnswers = true; }
+void Server::closeAfterResponses() { S->ClosesAfterResponses = true; }
 
 void Server::closeIdle() { S->closeIdle(); }
 
--- a/src/http/socket-options.cc
+++ b/src/http/socket-options.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// Seconds without traffic before a probe, between two probes, and probes.
-constexpr int ProbeAfter = 1;
-constexpr int ProbeEvery = 1;
-constexpr int ProbesLost = 3;
+constexpr int KeepAliveIdleSeconds = 1;
+constexpr int KeepAliveIntervalSeconds = 1;
+constexpr int KeepAliveProbes = 3;
 
 void setTcpOption(int socket, int option, int value) {
   ::setsockopt(socket, IPPROTO_TCP, option, &value, sizeof(value));
@@ -23,10 +23,10 @@
   socket.set_option(tcp::no_delay(true), ec);
   socket.set_option(tcp::socket::keep_alive(true), ec);
   const int fd = socket.native_handle();
-  setTcpOption(fd, TCP_USER_TIMEOUT, static_cast<int>(SilentPeerLimit.count()));
-  setTcpOption(fd, TCP_KEEPIDLE, ProbeAfter);
-  setTcpOption(fd, TCP_KEEPINTVL, ProbeEvery);
-  setTcpOption(fd, TCP_KEEPCNT, ProbesLost);
+  setTcpOption(fd, TCP_USER_TIMEOUT, static_cast<int>(TcpUserTimeout.count()));
+  setTcpOption(fd, TCP_KEEPIDLE, KeepAliveIdleSeconds);
+  setTcpOption(fd, TCP_KEEPINTVL, KeepAliveIntervalSeconds);
+  setTcpOption(fd, TCP_KEEPCNT, KeepAliveProbes);
 }
 
 } // namespace drumlanding::http
--- a/src/sidecar/main.cc
+++ b/src/sidecar/main.cc
@@ -1,6 +1,6 @@
 // drumlanding-sidecar: runs beside an engine and tells the gateways when it is
 // going to leave.
-#include "platform/dialect.h"
+#include "platform/protocol-codec.h"
 #include "sidecar.h"
 
 #include "drumlanding/daemon/process.h"
@@ -60,8 +60,8 @@
   boost::asio::io_context io(1);
   // Whoever reads the log may go away.
   std::signal(SIGPIPE, SIG_IGN);
-  auto sidecar =
-      sidecar::Sidecar::start(io, value(settings), platform::makeDialect());
+  auto sidecar = sidecar::Sidecar::start(io, value(settings),
+                                         platform::makeProtocolCodec());
   if (!ok(sidecar))
     base::exitOnBadSettings(error(sidecar));
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -18,32 +18,32 @@
 
 /// How often the engine is asked: an engine's notice can be as short as 1.5 s,
 /// of which a copy of one generation takes a quarter.
-constexpr milliseconds AskEvery{50};
-constexpr milliseconds ConnectLimit{500};
+constexpr milliseconds PollInterval{50};
+constexpr milliseconds ConnectTimeout{500};
 /// An engine on the same VM answers a report within milliseconds: one that says
 /// nothing for so long hangs, or its connection is dead.
-constexpr milliseconds AnswerLimit{1'000};
+constexpr milliseconds ResponseTimeout{1'000};
 /// Pause before an engine that does not answer is asked again.
-constexpr milliseconds AskAgain{250};
+constexpr milliseconds ReconnectDelay{250};
 /// A notice is repeated this often, since datagrams get lost.
-constexpr milliseconds RepeatEvery{150};
+constexpr milliseconds NoticeRepeatInterval{150};
 /// How often gateways are told that the engine is there, and asked for the
 /// addresses of all.
-constexpr milliseconds ContactEvery{1'000};
+constexpr milliseconds ContactInterval{1'000};
 /// The same while an engine is new, until everybody must have heard of it.
-constexpr milliseconds NewContactEvery{200};
-constexpr milliseconds NewTime{3'000};
+constexpr milliseconds InitialContactInterval{200};
+constexpr milliseconds InitialContactPeriod{3'000};
 /// An engine that does not say who it is, is asked again after so many reports.
-constexpr int ReportsPerHealth = 5;
+constexpr int ReportsPerHealthCheck = 5;
 /// Most gateways that are told so each time, in turn.
-constexpr std::size_t MostContacts = 8;
+constexpr std::size_t MaxContacts = 8;
 constexpr int Fine = 200;
 
 } // namespace
 
 Sidecar::Sidecar(asio::io_context &io, SidecarSettings settings,
                  gateway::Dialect dialect)
-    : Io(io), Settings(std::move(settings)), Words(std::move(dialect)),
+    : Io(io), Settings(std::move(settings)), Codec(std::move(dialect)),
       Log(Settings.Name),
       Gateways(Clock.now().Steady, {Settings.Name, Settings.Listen,
                                     base::secureRandom64(), Settings.Seeds}) {}
@@ -58,36 +58,36 @@
   if (!ok(datagrams))
     return error(datagrams);
   s.Socket = std::move(value(datagrams));
-  const auto take = [&s](std::string_view bytes,
-                         const gateway::Datagrams::Sender &from) {
+  const auto onDatagram = [&s](std::string_view bytes,
+                               const gateway::Datagrams::Sender &from) {
     s.receive(bytes, from);
   };
-  asio::co_spawn(io, s.Socket->receive(take), asio::detached);
-  asio::co_spawn(io, s.keepContact(), asio::detached);
+  asio::co_spawn(io, s.Socket->receive(onDatagram), asio::detached);
+  asio::co_spawn(io, s.maintainContact(), asio::detached);
   asio::co_spawn(io, s.watchEngine(), asio::detached);
-  s.MetAt = s.Clock.now().Steady;
+  s.IdentifiedAt = s.Clock.now().Steady;
   s.Log.write("started", {{"engine", base::toString(s.Settings.Engine)}});
   return sidecar;
 }
 
 asio::awaitable<void> Sidecar::watchEngine() {
   for (;;) {
-    co_await askUntilBroken();
+    co_await pollUntilDisconnected();
     EngineId.clear();
-    Last = {};
-    co_await sleepFor(AskAgain);
+    LastReport = {};
+    co_await sleepFor(ReconnectDelay);
   }
 }
 
 /// Sends a request on a kept connection and reads the whole answer.
 asio::awaitable<base::Result<http::Response>>
-Sidecar::ask(http::Connection &connection, http::Request request) {
+Sidecar::sendRequest(http::Connection &connection, http::Request request) {
   request.Headers.push_back({"Host", base::toString(Settings.Engine)});
-  asio::steady_timer limit(Io, AnswerLimit);
+  asio::steady_timer limit(Io, ResponseTimeout);
   limit.async_wait([weak = connection.weak_from_this()](error_code ec) {
-    const auto late = weak.lock();
-    if (!ec && late)
-      late->close();
+    const auto expired = weak.lock();
+    if (!ec && expired)
+      expired->close();
   });
   connection.send(request);
   auto head = co_await connection.readHead();
@@ -97,51 +97,52 @@
   response.Status = value(head).Status;
   response.Headers = std::move(value(head).Headers);
   for (;;) {
-    auto piece = co_await connection.read();
-    if (!ok(piece))
-      co_return error(piece);
-    if (value(piece).empty())
+    auto chunk = co_await connection.read();
+    if (!ok(chunk))
+      co_return error(chunk);
+    if (value(chunk).empty())
       co_return response;
-    response.Body += value(piece);
+    response.Body += value(chunk);
   }
 }
 
 /// Asks for reports on one connection as long as it holds: a restarted engine
 /// breaks it.
-asio::awaitable<void> Sidecar::askUntilBroken() {
-  auto opened = co_await http::Connection::open(Settings.Engine, ConnectLimit);
+asio::awaitable<void> Sidecar::pollUntilDisconnected() {
+  auto opened =
+      co_await http::Connection::open(Settings.Engine, ConnectTimeout);
   if (!ok(opened))
     co_return;
   const std::shared_ptr<http::Connection> connection = value(opened);
   for (int i = 0;; ++i) {
-    if (EngineId.empty() && i % ReportsPerHealth == 0) {
-      const auto health = co_await ask(*connection, Words.ToHealth());
+    if (EngineId.empty() && i % ReportsPerHealthCheck == 0) {
+      const auto health = co_await sendRequest(*connection, Codec.ToHealth());
       if (!ok(health))
         co_return;
-      meet(Words.ReadHealth(value(health)));
+      identifyEngine(Codec.ReadHealth(value(health)));
     }
-    const auto answer = co_await ask(*connection, Words.ToReport());
+    const auto answer = co_await sendRequest(*connection, Codec.ToReport());
     if (!ok(answer))
       co_return;
-    const auto report = Words.ReadReport(value(answer));
+    const auto report = Codec.ReadReport(value(answer));
     if (ok(report))
-      take(value(report));
-    co_await sleepFor(AskEvery);
+      applyReport(value(report));
+    co_await sleepFor(PollInterval);
   }
 }
 
-void Sidecar::meet(const std::string &id) {
+void Sidecar::identifyEngine(const std::string &id) {
   if (id.empty())
     return;
   EngineId = id;
-  MetAt = Clock.now().Steady;
+  IdentifiedAt = Clock.now().Steady;
   Log.write("engine-met", {{"server", id}});
-  tell(allGateways());
+  sendNotice(liveGateways());
 }
 
-void Sidecar::take(const gateway::ServerReport &report) {
-  const bool isNew = report.IsLeaving && !Last.IsLeaving;
-  Last = report;
+void Sidecar::applyReport(const gateway::ServerReport &report) {
+  const bool isNew = report.IsLeaving && !LastReport.IsLeaving;
+  LastReport = report;
   if (isNew)
     Log.write(
         "engine-leaving",
@@ -149,13 +150,13 @@
   if (!report.IsLeaving)
     return;
   const base::Instant now = Clock.now().Steady;
-  if (!isNew && now - ToldAt < RepeatEvery)
+  if (!isNew && now - NotifiedAt < NoticeRepeatInterval)
     return;
-  ToldAt = now;
-  tell(allGateways());
+  NotifiedAt = now;
+  sendNotice(liveGateways());
 }
 
-std::vector<base::Endpoint> Sidecar::allGateways() const {
+std::vector<base::Endpoint> Sidecar::liveGateways() const {
   std::vector<base::Endpoint> all;
   for (const gateway::Peer &peer : Gateways.live(Clock.now().Steady))
     all.push_back(peer.Address);
@@ -171,14 +172,15 @@
   notice.set_server(EngineId);
   notice.set_service(Settings.Service);
   notice.set_zone(Settings.Zone);
-  notice.set_is_leaving(Last.IsLeaving);
-  notice.set_born_ms(static_cast<std::uint64_t>(Last.BornAt.count()));
-  if (Last.LeavesIn)
-    notice.set_leaves_in_ms(static_cast<std::uint64_t>(Last.LeavesIn->count()));
+  notice.set_is_leaving(LastReport.IsLeaving);
+  notice.set_born_ms(static_cast<std::uint64_t>(LastReport.BornAt.count()));
+  if (LastReport.LeavesIn)
+    notice.set_leaves_in_ms(
+        static_cast<std::uint64_t>(LastReport.LeavesIn->count()));
   return message.SerializeAsString();
 }
 
-void Sidecar::tell(const std::vector<base::Endpoint> &to) {
+void Sidecar::sendNotice(const std::vector<base::Endpoint> &to) {
   const std::string bytes = notice();
   for (const base::Endpoint &gateway : to)
     Socket->send(gateway, bytes);
@@ -197,17 +199,17 @@
 }
 
 /// Asks the gateways in turn, so that each is asked seldom.
-asio::awaitable<void> Sidecar::keepContact() {
+asio::awaitable<void> Sidecar::maintainContact() {
   for (;;) {
     const std::vector<base::Endpoint> due = Gateways.due(Clock.now().Steady);
     std::vector<base::Endpoint> to;
-    for (std::size_t i = 0; i < std::min(due.size(), MostContacts); ++i)
+    for (std::size_t i = 0; i < std::min(due.size(), MaxContacts); ++i)
       to.push_back(due[NextContact++ % due.size()]);
     // Without an answer from the engine there is nothing to tell.
     if (!EngineId.empty())
-      tell(to);
-    const bool isNew = Clock.now().Steady - MetAt < NewTime;
-    co_await sleepFor(isNew ? NewContactEvery : ContactEvery);
+      sendNotice(to);
+    const bool isNew = Clock.now().Steady - IdentifiedAt < InitialContactPeriod;
+    co_await sleepFor(isNew ? InitialContactInterval : ContactInterval);
   }
 }
 
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -38,30 +38,30 @@
   Sidecar(asio::io_context &io, SidecarSettings settings,
           gateway::Dialect dialect);
   asio::awaitable<void> watchEngine();
-  asio::awaitable<void> askUntilBroken();
+  asio::awaitable<void> pollUntilDisconnected();
   asio::awaitable<base::Result<http::Response>>
-  ask(http::Connection &connection, http::Request request);
+  sendRequest(http::Connection &connection, http::Request request);
   void receive(std::string_view bytes, const gateway::Datagrams::Sender &from);
   std::string notice() const;
-  asio::awaitable<void> keepContact();
-  void meet(const std::string &id);
-  void take(const gateway::ServerReport &report);
-  void tell(const std::vector<base::Endpoint> &to);
-  std::vector<base::Endpoint> allGateways() const;
+  asio::awaitable<void> maintainContact();
+  void identifyEngine(const std::string &id);
+  void applyReport(const gateway::ServerReport &report);
+  void sendNotice(const std::vector<base::Endpoint> &to);
+  std::vector<base::Endpoint> liveGateways() const;
 
   asio::io_context &Io;
   SidecarSettings Settings;
-  gateway::Dialect Words;
+  gateway::Dialect Codec;
   gateway::EventLog Log;
   base::SystemClock Clock;
   gateway::Peers Gateways;
   std::unique_ptr<gateway::Datagrams> Socket;
-  gateway::ServerReport Last;
+  gateway::ServerReport LastReport;
   /// The engine's id; empty while it does not answer or is not well.
   std::string EngineId;
   /// When the engine on this connection was first met, or the process began.
-  base::Instant MetAt{};
-  base::Instant ToldAt{};
+  base::Instant IdentifiedAt{};
+  base::Instant NotifiedAt{};
   /// The gateway that is asked next for the list of gateways.
   std::size_t NextContact = 0;
 };
--- a/src/wire/refusal.cc
+++ b/src/wire/refusal.cc
@@ -5,7 +5,7 @@
 Refused toWire(const base::Refusal &refusal) {
   Refused refused;
   refused.set_verdict(static_cast<std::uint32_t>(refusal.Outcome));
-  refused.set_reason(static_cast<std::uint32_t>(refusal.Why));
+  refused.set_reason(static_cast<std::uint32_t>(refusal.Reason));
   refused.set_retry_after_ms(
       static_cast<std::uint32_t>(refusal.RetryAfter.count()));
   return refused;
--- a/test/explain-test.cc
+++ b/test/explain-test.cc
@@ -16,11 +16,11 @@
 }
 
 std::string causeOf(const std::vector<LogLine> &lines, const char *request) {
-  const auto story = explain(lines, request);
-  return ok(story) ? value(story).Cause : describe(error(story));
+  const auto trace = explain(lines, request);
+  return ok(trace) ? value(trace).Cause : describe(error(trace));
 }
 
-TEST(Explain, ReadsLinesBehindAPrefixAndPassesOverOthers) {
+TEST(Explain, ParsesPrefixedLinesAndSkipsOthers) {
   EXPECT_FALSE(parseLogLine("a stack trace").has_value());
   EXPECT_FALSE(parseLogLine("{not json").has_value());
   EXPECT_FALSE(parseLogLine(R"({"a":1})").has_value());
@@ -31,7 +31,7 @@
   EXPECT_EQ(line->text("server"), "s");
 }
 
-TEST(Explain, AStreamWhoseMoveCameTooLate) {
+TEST(Explain, StreamWithLateMigration) {
   const auto lines = parseAll(
       {R"({"time_ms":1000,"process":"g1","event":"placed","request":"r","server":"s1"})",
        R"({"time_ms":1100,"process":"g1","event":"server-leaving","server":"s1"})",
@@ -41,11 +41,11 @@
   EXPECT_EQ(
       causeOf(lines, "r"),
       "s1 left; the move began with 60 ms left and was not done in time.");
-  const auto story = explain(lines, "r");
-  EXPECT_EQ(value(story).Lines.size(), 4U);
+  const auto trace = explain(lines, "r");
+  EXPECT_EQ(value(trace).Lines.size(), 4U);
 }
 
-TEST(Explain, AServerThatBrokeOffWithoutNotice) {
+TEST(Explain, ServerDisconnectedWithoutNotice) {
   const auto lines = parseAll(
       {R"({"time_ms":1000,"process":"g1","event":"placed","request":"r","server":"s1"})",
        R"({"time_ms":1003,"process":"g1","event":"stream-ended","request":"r","server":"","how":"no head"})"});
@@ -53,7 +53,7 @@
             "s1 broke the connection without notice (no head).");
 }
 
-TEST(Explain, AGatewayThatDiedOrWasStopped) {
+TEST(Explain, GatewayCrashedOrStopped) {
   const std::string placed =
       R"({"time_ms":1000,"process":"g1","event":"placed","request":"r","server":"s1"})";
   EXPECT_EQ(causeOf(parseAll({placed}), "r"),
@@ -74,7 +74,7 @@
       "g1 was stopped, and its time was up with 2 open.");
 }
 
-TEST(Explain, CallsByTheirStatus) {
+TEST(Explain, CausesByCallStatus) {
   const auto ended = [](const char *rest) {
     return parseAll({std::string(R"({"time_ms":1,"process":"g","event":)"
                                  R"("request-ended","request":"r",)") +
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -1,7 +1,7 @@
 // A whole gateway in one process, before servers of the test's own on loopback:
 // requests, streams and moves, with each thing that can go wrong on the way.
 // Waits are on conditions; no test depends on how long something takes.
-#include "platform/dialect.h"
+#include "platform/protocol-codec.h"
 #include "shell.h"
 
 #include "drumlanding/daemon/sleep.h"
@@ -137,7 +137,7 @@
       co_await x.send(std::move(refused));
       co_return;
     }
-    x.onGone([this] { ++Gone; });
+    x.onDisconnect([this] { ++Gone; });
     std::vector<http::Header> headers = own(request, 200, "").Headers;
     headers.push_back({"Content-Type", "text/event-stream"});
     co_await x.beginBody(200, headers);
@@ -297,8 +297,8 @@
     settings.ReadyListen = freeEndpoint();
     settings.ControlListen = freeEndpoint();
     settings.Retries = {0.2, 50, seconds(10)};
-    auto shell =
-        Shell::start(Io, Clock, settings, platform::makeDialect(), source());
+    auto shell = Shell::start(Io, Clock, settings,
+                              platform::makeProtocolCodec(), source());
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
     At = settings.Listen;
@@ -342,11 +342,12 @@
   }
 
   asio::awaitable<http::Response> call(http::Request r) {
-    http::Fetched fetched = co_await http::fetch(At, std::move(r), TestLimit);
-    EXPECT_TRUE(ok(fetched.Answer));
-    if (!ok(fetched.Answer))
+    http::FetchResult fetched =
+        co_await http::fetch(At, std::move(r), TestLimit);
+    EXPECT_TRUE(ok(fetched.Outcome));
+    if (!ok(fetched.Outcome))
       co_return http::Response{0, "", "", {}};
-    co_return std::move(value(fetched.Answer));
+    co_return std::move(value(fetched.Outcome));
   }
 
   asio::awaitable<Received> readStream(std::string path) {
@@ -387,9 +388,9 @@
     EXPECT_EQ(r.Status, 503);
     EXPECT_FALSE(http::findHeader(r.Headers, "Retry-After").empty());
     http::Request ready{"GET", "/drumlanding/readyz", {}, {}};
-    http::Fetched f =
+    http::FetchResult f =
         co_await http::fetch(ReadyAt, std::move(ready), TestLimit);
-    EXPECT_EQ(base::value(f.Answer).Status, 503);
+    EXPECT_EQ(base::value(f.Outcome).Status, 503);
   });
 }
 
@@ -576,7 +577,7 @@
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
     const Received r = co_await readStream("/stream/x");
-    EXPECT_TRUE(r.End.Whole);
+    EXPECT_TRUE(r.End.IsComplete);
     EXPECT_EQ(r.Ids.size(), 30U);
     expectInOrder(r);
   });
@@ -594,7 +595,7 @@
                                     engine.IsDead = r.Ids.size() == 5;
                                     return true;
                                   });
-    EXPECT_FALSE(r.End.Whole);
+    EXPECT_FALSE(r.End.IsComplete);
     EXPECT_GE(r.Ids.size(), 5U);
     expectInOrder(r);
   });
@@ -626,7 +627,7 @@
                                     r.Ids.push_back(event.Id);
                                     return true;
                                   });
-    EXPECT_TRUE(r.End.Whole);
+    EXPECT_TRUE(r.End.IsComplete);
     expectInOrder(r);
     EXPECT_FALSE(Gateway->world().isReady());
   });
@@ -675,12 +676,12 @@
           return true;
         });
     expectInOrder(r);
-    EXPECT_EQ(r.End.Whole,
+    EXPECT_EQ(r.End.IsComplete,
               r.Ids.size() == static_cast<std::size_t>(MoveEvents));
     const bool isLost = fault == MoveFault::LastAnswerLost ||
                         fault == MoveFault::DestinationDies ||
                         fault == MoveFault::SourceDies;
-    EXPECT_EQ(r.End.Whole, !isLost);
+    EXPECT_EQ(r.End.IsComplete, !isLost);
     if (fault == MoveFault::None || fault == MoveFault::NoRunYet) {
       EXPECT_EQ(destination.Got.size(), 1U);
     }
--- a/test/platform-test.cc
+++ b/test/platform-test.cc
@@ -1,6 +1,6 @@
 // Tests of the adapter to the users' platform, by bytes.
-#include "platform/dialect.h"
-#include "platform/source.h"
+#include "platform/protocol-codec.h"
+#include "platform/store-reader.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 using base::milliseconds;
 
-http::Request callersRequest() {
+http::Request sampleRequest() {
   return {"POST",
           "/shop/2f?x=1",
           {{"Host", "a.example"},
@@ -33,8 +33,8 @@
           "body"};
 }
 
-std::vector<std::string_view> all(const http::Request &request,
-                                  std::string_view name) {
+std::vector<std::string_view> headerValues(const http::Request &request,
+                                           std::string_view name) {
   std::vector<std::string_view> values;
   for (const http::Header &h : request.Headers)
     if (http::equalIgnoringCase(h.Name, name))
@@ -42,9 +42,9 @@
   return values;
 }
 
-TEST(Dialect, ReadsWhatACallerSays) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
+TEST(ProtocolCodec, ParsesCallerHeaders) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
   EXPECT_EQ(r.AttemptId, "9c41");
   EXPECT_EQ(r.Host, "a.example");
   EXPECT_EQ(r.Key, "secret");
@@ -54,106 +54,106 @@
   EXPECT_EQ(r.ExpectedTokens, 33U);
 }
 
-TEST(Dialect, BadNumbersAreAsIfMissing) {
-  const gateway::Dialect dialect = makeDialect();
+TEST(ProtocolCodec, InvalidNumbersAreIgnored) {
+  const gateway::Dialect codec = makeProtocolCodec();
   http::Request request{"GET",
                         "/",
                         {{"X-Deadline-Ms", "-5"},
                          {"X-Token-Usage", "many"},
                          {"Length-Hint", "9x"}},
                         {}};
-  const gateway::CallerRequest r = dialect.ReadRequest(std::move(request));
+  const gateway::CallerRequest r = codec.ReadRequest(std::move(request));
   EXPECT_FALSE(r.Patience);
   EXPECT_EQ(r.PromptTokens, 0U);
   EXPECT_EQ(r.ExpectedTokens, 0U);
   EXPECT_TRUE(r.AttemptId.empty());
 }
 
-TEST(Dialect, ServersNeverSeeKeysOrForgedOrders) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
+TEST(ProtocolCodec, StripsApiKeyAndForgedGatewayHeaders) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
   gateway::ServerOrder order;
   order.ServerId = "i-1";
   order.TimeLeft = milliseconds(2'500);
   order.Organisation = "school";
-  const http::Request out = dialect.ToServer(r, order);
+  const http::Request out = codec.ToServer(r, order);
   EXPECT_EQ(out.Method, "POST");
   EXPECT_EQ(out.Target, "/shop/2f?x=1");
   EXPECT_EQ(out.Body, "body");
   using Values = std::vector<std::string_view>;
-  EXPECT_EQ(all(out, "X-Api-Key"), Values{});
-  EXPECT_EQ(all(out, "X-Tenant"), Values{"school"});
-  EXPECT_EQ(all(out, "X-Expect-Instance"), Values{"i-1"});
-  EXPECT_EQ(all(out, "X-Deadline-Ms"), Values{"2500"});
-  EXPECT_EQ(all(out, "X-Attempt-Id"), Values{"9c41"});
-  EXPECT_EQ(all(out, "X-Token-Usage"), Values{"1460,80"});
-  EXPECT_EQ(all(out, "X-Other"), Values{"kept"});
-  EXPECT_EQ(all(out, "Host"), Values{"a.example"});
+  EXPECT_EQ(headerValues(out, "X-Api-Key"), Values{});
+  EXPECT_EQ(headerValues(out, "X-Tenant"), Values{"school"});
+  EXPECT_EQ(headerValues(out, "X-Expect-Instance"), Values{"i-1"});
+  EXPECT_EQ(headerValues(out, "X-Deadline-Ms"), Values{"2500"});
+  EXPECT_EQ(headerValues(out, "X-Attempt-Id"), Values{"9c41"});
+  EXPECT_EQ(headerValues(out, "X-Token-Usage"), Values{"1460,80"});
+  EXPECT_EQ(headerValues(out, "X-Other"), Values{"kept"});
+  EXPECT_EQ(headerValues(out, "Host"), Values{"a.example"});
   for (std::string_view name :
        {"Priority", "Kv-From", "Kv-Backup", "Hold", "Pin-Ms", "Connection"})
-    EXPECT_EQ(all(out, name), Values{}) << name;
+    EXPECT_EQ(headerValues(out, name), Values{}) << name;
 }
 
-TEST(Dialect, PublicRequestsCarryNoOrganisation) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
-  const http::Request out = dialect.ToServer(r, {});
-  EXPECT_TRUE(all(out, "X-Tenant").empty());
+TEST(ProtocolCodec, PublicRequestsCarryNoOrganisation) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
+  const http::Request out = codec.ToServer(r, {});
+  EXPECT_TRUE(headerValues(out, "X-Tenant").empty());
 }
 
-TEST(Dialect, AContinuationReplacesTheCallersPosition) {
-  const gateway::Dialect dialect = makeDialect();
-  http::Request request = callersRequest();
+TEST(ProtocolCodec, ResumePointReplacesLastEventId) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  http::Request request = sampleRequest();
   request.Headers.push_back({"Last-Event-Id", "1"});
-  const gateway::CallerRequest r = dialect.ReadRequest(std::move(request));
-  EXPECT_EQ(all(dialect.ToServer(r, {}), "Last-Event-Id").size(), 1U);
+  const gateway::CallerRequest r = codec.ReadRequest(std::move(request));
+  EXPECT_EQ(headerValues(codec.ToServer(r, {}), "Last-Event-Id").size(), 1U);
   gateway::ServerOrder order;
   order.From = gateway::Continuation{{"10.0.0.7", 80}, "h1", 41};
   order.Priority = 2;
-  const http::Request out = dialect.ToServer(r, order);
+  const http::Request out = codec.ToServer(r, order);
   using Values = std::vector<std::string_view>;
-  EXPECT_EQ(all(out, "Last-Event-Id"), Values{"41"});
-  EXPECT_EQ(all(out, "Kv-From"), Values{"10.0.0.7:80/h1"});
-  EXPECT_EQ(all(out, "Priority"), Values{"2"});
+  EXPECT_EQ(headerValues(out, "Last-Event-Id"), Values{"41"});
+  EXPECT_EQ(headerValues(out, "Kv-From"), Values{"10.0.0.7:80/h1"});
+  EXPECT_EQ(headerValues(out, "Priority"), Values{"2"});
 }
 
-TEST(Dialect, TellsAnswersApart) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
-  http::AnswerHead head{200,
-                        {{"X-Attempt-Id", "9c41"},
-                         {"X-Served-Stamp", "s"},
-                         {"Connection", "close"},
-                         {"Content-Length", "9"},
-                         {"Content-Type", "text/plain"}}};
-  gateway::ServerAnswer a = dialect.ReadAnswer(r, head);
+TEST(ProtocolCodec, ClassifiesServerResponses) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
+  http::ResponseHead head{200,
+                          {{"X-Attempt-Id", "9c41"},
+                           {"X-Served-Stamp", "s"},
+                           {"Connection", "close"},
+                           {"Content-Length", "9"},
+                           {"Content-Type", "text/plain"}}};
+  gateway::ServerAnswer a = codec.ReadAnswer(r, head);
   EXPECT_TRUE(a.IsOwn && a.IsStamped);
   EXPECT_FALSE(a.HasNotRun);
   EXPECT_EQ(http::findHeader(a.Headers, "content-type"), "text/plain");
   EXPECT_EQ(http::findHeader(a.Headers, "X-Served-Stamp"), "s");
   EXPECT_EQ(http::findHeader(a.Headers, "Content-Length"), "");
   head.Headers.push_back({"Content-Encoding", "gzip"});
-  EXPECT_FALSE(dialect.ReadAnswer(r, head).IsStamped);
-  EXPECT_FALSE(dialect.ReadAnswer(r, {200, {{"X-Attempt-Id", "other"}}}).IsOwn);
-  a = dialect.ReadAnswer(r, {503, {{"X-Not-Run", "1"}}});
+  EXPECT_FALSE(codec.ReadAnswer(r, head).IsStamped);
+  EXPECT_FALSE(codec.ReadAnswer(r, {200, {{"X-Attempt-Id", "other"}}}).IsOwn);
+  a = codec.ReadAnswer(r, {503, {{"X-Not-Run", "1"}}});
   EXPECT_TRUE(a.HasNotRun && !a.IsOtherServer);
-  a = dialect.ReadAnswer(r, {421, {}});
+  a = codec.ReadAnswer(r, {421, {}});
   EXPECT_TRUE(a.HasNotRun && a.IsOtherServer);
   // Without the word a refusal proves nothing.
-  EXPECT_FALSE(dialect.ReadAnswer(r, {503, {}}).HasNotRun);
+  EXPECT_FALSE(codec.ReadAnswer(r, {503, {}}).HasNotRun);
 }
 
-TEST(Dialect, MovesAreAskedAndAnswered) {
-  const gateway::Dialect dialect = makeDialect();
-  const http::Request ask = dialect.ToMove({"9c41", {"10.0.0.2", 81}, true});
+TEST(ProtocolCodec, EncodesCopyRequestsAndDecodesResponses) {
+  const gateway::Dialect codec = makeProtocolCodec();
+  const http::Request ask = codec.ToMove({"9c41", {"10.0.0.2", 81}, true});
   EXPECT_EQ(ask.Method, "POST");
   EXPECT_NE(ask.Body.find("\"10.0.0.2:81\""), std::string::npos);
   EXPECT_NE(ask.Body.find("\"last\":true"), std::string::npos);
-  EXPECT_EQ(dialect.ToMove({"9c41", {"10.0.0.2", 81}, false}).Body.find("last"),
+  EXPECT_EQ(codec.ToMove({"9c41", {"10.0.0.2", 81}, false}).Body.find("last"),
             std::string::npos);
   using Outcome = gateway::MoveAnswer::Outcome;
   const auto read = [&](int status, std::string body) {
-    return dialect.ReadMove(http::Response{status, "", std::move(body), {}});
+    return codec.ReadMove(http::Response{status, "", std::move(body), {}});
   };
   const auto copied = read(200, R"({"handle":"h7","made":12})");
   EXPECT_EQ(copied.What, Outcome::Copied);
@@ -165,14 +165,14 @@
   EXPECT_EQ(read(503, R"({"handle":"h7"})").Handle, "h7");
   EXPECT_EQ(read(500, "nonsense").What, Outcome::Failed);
   EXPECT_EQ(
-      dialect.ReadMove(base::Error{base::ErrorCode::Unavailable, "", ""}).What,
+      codec.ReadMove(base::Error{base::ErrorCode::Unavailable, "", ""}).What,
       Outcome::Failed);
 }
 
-TEST(Dialect, ReportsSayWhetherTheServerLeaves) {
-  const gateway::Dialect dialect = makeDialect();
+TEST(ProtocolCodec, DecodesServerReports) {
+  const gateway::Dialect codec = makeProtocolCodec();
   const auto read = [&](std::string body) {
-    return dialect.ReadReport(http::Response{200, "", std::move(body), {}});
+    return codec.ReadReport(http::Response{200, "", std::move(body), {}});
   };
   auto report = read(R"({"state":"draining","leaves_ms":1700.5,"waiting":1,
                          "running":12,"kvUsed":41000,"kvTotal":90000})");
@@ -210,7 +210,7 @@
            "headerTimeoutMs":3000,"idleTimeoutMs":15000},
  "tenants":[{"name":"school","apiKeys":["k1","k2"],"priority":1}]})";
 
-TEST(Config, IsReadIntoTheGatewaysTypes) {
+TEST(Config, DecodesIntoGatewayTypes) {
   const auto read = decodeConfig(SampleConfig);
   ASSERT_TRUE(ok(read)) << describe(error(read));
   const gateway::Config &c = base::value(read);
@@ -229,19 +229,19 @@
   EXPECT_TRUE(c.service("llm")->Engine->CanMove);
   EXPECT_FALSE(c.service("shop")->Engine);
   EXPECT_EQ(c.service("none"), nullptr);
-  EXPECT_EQ(c.Limits.IdleLimit, milliseconds(15'000));
+  EXPECT_EQ(c.Limits.IdleTimeout, milliseconds(15'000));
   EXPECT_EQ(c.Organisations[0].Keys.size(), 2U);
   EXPECT_EQ(c.Organisations[0].Priority, 1);
 }
 
-TEST(Config, BrokenTextsAreErrors) {
+TEST(Config, RejectsMalformedText) {
   for (std::string_view text :
        {"", "{}", "[]", R"({"version":"x"})", R"({"version":1,"routes":[{}]})",
         R"({"version":1,"routes":[],"services":[{"name":3}]})"})
     EXPECT_FALSE(ok(decodeConfig(text))) << text;
 }
 
-TEST(ServerList, EntriesAreRead) {
+TEST(ServerList, DecodesEntry) {
   const auto read = decodeServer(
       "servers/i-7", R"({"backend":"llm","address":"10.1.2.3:80","zone":"a",
                          "slots":64,"state":"draining","coldLeftMs":250,
@@ -259,33 +259,34 @@
 }
 
 /// Entries of other writers name no server to use.
-TEST(ServerList, EntriesOfOtherWritersAreRefused) {
-  const nlohmann::json whole{{"backend", "llm"},  {"address", "10.1.2.3:80"},
-                             {"zone", "a"},       {"version", "v1"},
-                             {"slots", 64},       {"state", "ready"},
-                             {"coldLeftMs", 0.5}, {"seq", 4}};
-  const auto isRead = [](const nlohmann::json &json) {
+TEST(ServerList, RejectsEntriesWithMissingOrInvalidFields) {
+  const nlohmann::json validEntry{
+      {"backend", "llm"},  {"address", "10.1.2.3:80"},
+      {"zone", "a"},       {"version", "v1"},
+      {"slots", 64},       {"state", "ready"},
+      {"coldLeftMs", 0.5}, {"seq", 4}};
+  const auto isAccepted = [](const nlohmann::json &json) {
     return ok(decodeServer("servers/i-7", json.dump()));
   };
-  EXPECT_TRUE(isRead(whole));
-  nlohmann::json born = whole;
-  for (const auto &[value, isRight] :
+  EXPECT_TRUE(isAccepted(validEntry));
+  nlohmann::json born = validEntry;
+  for (const auto &[value, isValid] :
        {std::pair<nlohmann::json, bool>{1'777'897'410'029, true},
         {1.5, false},
         {-1, false},
         {"1", false}}) {
     born["born"] = value;
-    EXPECT_EQ(isRead(born), isRight) << "born " << value;
+    EXPECT_EQ(isAccepted(born), isValid) << "born " << value;
   }
-  for (const auto &[name, value] : whole.items()) {
-    nlohmann::json other = whole;
+  for (const auto &[name, value] : validEntry.items()) {
+    nlohmann::json other = validEntry;
     other.erase(name);
-    EXPECT_FALSE(isRead(other)) << "without " << name;
+    EXPECT_FALSE(isAccepted(other)) << "without " << name;
     for (const nlohmann::json &wrong :
          {nlohmann::json(nullptr), nlohmann::json::array({1}),
           nlohmann::json::object(), nlohmann::json(true)}) {
       other[name] = wrong;
-      EXPECT_FALSE(isRead(other)) << name << " is " << wrong;
+      EXPECT_FALSE(isAccepted(other)) << name << " is " << wrong;
     }
   }
   for (const auto &[name, value] :
@@ -296,9 +297,9 @@
         {"slots", "64"},
         {"coldLeftMs", -1},
         {"address", "10.1.2.3"}}) {
-    nlohmann::json other = whole;
+    nlohmann::json other = validEntry;
     other[name] = value;
-    EXPECT_FALSE(isRead(other)) << name << " is " << value;
+    EXPECT_FALSE(isAccepted(other)) << name << " is " << value;
   }
   EXPECT_FALSE(ok(decodeServer("servers/i-7", "\xff\x00{")));
   EXPECT_FALSE(ok(decodeServer("servers/i-7", "")));
--- a/test/sidecar-test.cc
+++ b/test/sidecar-test.cc
@@ -4,7 +4,7 @@
 
 #include "drumlanding/daemon/sleep.h"
 #include "gateway.pb.h"
-#include "platform/dialect.h"
+#include "platform/protocol-codec.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -33,30 +33,30 @@
 protected:
   void SetUp() override {
     auto engine = http::Server::listen(
-        Io, EngineAt, {}, [this](http::Request r, http::Exchange &x) {
+        Io, EngineAddress, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
         });
     Engine = std::move(value(engine));
-    auto gateway = gateway::Datagrams::open(Io, GatewayAt);
+    auto gateway = gateway::Datagrams::open(Io, GatewayAddress);
     Gateway = std::move(value(gateway));
-    const auto take = [this](std::string_view bytes,
-                             const gateway::Datagrams::Sender &) {
+    const auto onDatagram = [this](std::string_view bytes,
+                                   const gateway::Datagrams::Sender &) {
       wire::Gossip message;
       message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
-      Heard.push_back(message.notice());
+      Notices.push_back(message.notice());
     };
-    asio::co_spawn(Io, Gateway->receive(take), asio::detached);
-    SidecarSettings settings{"sidecar", freeEndpoint(), EngineAt, "llm",
-                             "a",       {GatewayAt}};
-    SidecarAt = settings.Listen;
-    auto started = Sidecar::start(Io, settings, platform::makeDialect());
+    asio::co_spawn(Io, Gateway->receive(onDatagram), asio::detached);
+    SidecarSettings settings{"sidecar", freeEndpoint(),  EngineAddress, "llm",
+                             "a",       {GatewayAddress}};
+    SidecarAddress = settings.Listen;
+    auto started = Sidecar::start(Io, settings, platform::makeProtocolCodec());
     ASSERT_TRUE(ok(started)) << describe(error(started));
-    Beside = std::move(value(started));
+    Subject = std::move(value(started));
   }
 
   asio::awaitable<void> serve(http::Request, http::Exchange &x) {
-    if (HangsOnce) {
-      HangsOnce = false;
+    if (HangsOnNextRequest) {
+      HangsOnNextRequest = false;
       co_await sleepFor(TestLimit);
       co_return;
     }
@@ -68,14 +68,14 @@
     co_await x.send(std::move(response));
   }
 
-  bool hasHeard(const std::string &id, bool isLeaving) const {
-    return std::any_of(Heard.begin(), Heard.end(), [&](const auto &notice) {
+  bool hasNotice(const std::string &id, bool isLeaving) const {
+    return std::any_of(Notices.begin(), Notices.end(), [&](const auto &notice) {
       return notice.server() == id && notice.is_leaving() == isLeaving;
     });
   }
 
   /// Runs until the condition holds.
-  bool holdsInTime(const std::function<bool()> &holds) {
+  bool waitUntil(const std::function<bool()> &holds) {
     bool isDone = false;
     const auto wait = [&]() -> asio::awaitable<void> {
       while (!holds())
@@ -90,46 +90,46 @@
   }
 
   asio::io_context Io{1};
-  base::Endpoint EngineAt = freeEndpoint();
-  base::Endpoint GatewayAt = freeEndpoint();
-  base::Endpoint SidecarAt;
+  base::Endpoint EngineAddress = freeEndpoint();
+  base::Endpoint GatewayAddress = freeEndpoint();
+  base::Endpoint SidecarAddress;
   std::string Id = "first";
   bool IsLeaving = false;
-  bool HangsOnce = false;
-  std::vector<wire::EngineNotice> Heard;
+  bool HangsOnNextRequest = false;
+  std::vector<wire::EngineNotice> Notices;
   std::unique_ptr<http::Server> Engine;
   std::unique_ptr<gateway::Datagrams> Gateway;
-  std::unique_ptr<Sidecar> Beside;
+  std::unique_ptr<Sidecar> Subject;
 };
 
-TEST_F(SidecarTest, TellsWhoIsThereAndThatItLeaves) {
-  EXPECT_TRUE(holdsInTime([&] { return hasHeard("first", false); }));
+TEST_F(SidecarTest, NotifiesOfEngineAndOfItsLeaving) {
+  EXPECT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
   IsLeaving = true;
-  EXPECT_TRUE(holdsInTime([&] { return hasHeard("first", true); }));
-  EXPECT_EQ(Heard.back().leaves_in_ms(), 1'500U);
-  EXPECT_EQ(Heard.back().born_ms(), 7U);
+  EXPECT_TRUE(waitUntil([&] { return hasNotice("first", true); }));
+  EXPECT_EQ(Notices.back().leaves_in_ms(), 1'500U);
+  EXPECT_EQ(Notices.back().born_ms(), 7U);
 }
 
-TEST_F(SidecarTest, AnswersAGatewayThatAsks) {
-  ASSERT_TRUE(holdsInTime([&] { return hasHeard("first", false); }));
-  Heard.clear();
-  wire::Gossip question;
-  question.set_name("gateway");
-  question.set_address(base::toString(GatewayAt));
-  question.set_asks_notice(true);
-  Gateway->send(SidecarAt, question.SerializeAsString());
-  EXPECT_TRUE(holdsInTime([&] { return hasHeard("first", false); }));
+TEST_F(SidecarTest, AnswersNoticeRequest) {
+  ASSERT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
+  Notices.clear();
+  wire::Gossip request;
+  request.set_name("gateway");
+  request.set_address(base::toString(GatewayAddress));
+  request.set_asks_notice(true);
+  Gateway->send(SidecarAddress, request.SerializeAsString());
+  EXPECT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
 }
 
 /// A connection that died in silence was waited on for ever, and the sidecar
 /// went on telling of the engine before, so that gateways took its successor
 /// for replaced (soak, seed 103).
-TEST_F(SidecarTest, MeetsTheNextEngineAfterAConnectionDiedInSilence) {
-  ASSERT_TRUE(holdsInTime([&] { return hasHeard("first", false); }));
-  HangsOnce = true;
-  ASSERT_TRUE(holdsInTime([&] { return !HangsOnce; }));
+TEST_F(SidecarTest, IdentifiesNewEngineAfterSilentConnection) {
+  ASSERT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
+  HangsOnNextRequest = true;
+  ASSERT_TRUE(waitUntil([&] { return !HangsOnNextRequest; }));
   Id = "second";
-  EXPECT_TRUE(holdsInTime([&] { return hasHeard("second", false); }));
+  EXPECT_TRUE(waitUntil([&] { return hasNotice("second", false); }));
 }
 
 } // namespace
--- a/test/soak/callers.h
+++ b/test/soak/callers.h
@@ -36,7 +36,7 @@
   base::Instant EndedAt{};
   /// 0: the connection closed before a head came.
   int Status = 0;
-  http::AnswerHead Head;
+  http::ResponseHead Head;
   std::string Body;
   bool IsWhole = false;
   /// No final answer within the route's time and some more.
--- a/test/soak/gateways.cc
+++ b/test/soak/gateways.cc
@@ -18,10 +18,10 @@
   for (;;) {
     for (const auto &gateway : All) {
       http::Request request{"GET", "/drumlanding/readyz", {}, {}};
-      const http::Fetched fetched =
+      const http::FetchResult fetched =
           co_await http::fetch(gateway->Ready, std::move(request), AnswerLimit);
       const bool isFine =
-          ok(fetched.Answer) && value(fetched.Answer).Status == Fine;
+          ok(fetched.Outcome) && value(fetched.Outcome).Status == Fine;
       gateway->Misses = isFine ? 0 : gateway->Misses + 1;
       gateway->IsReady = gateway->Misses < MostMisses;
     }
--- a/test/soak/operators.cc
+++ b/test/soak/operators.cc
@@ -55,8 +55,8 @@
     if (ok(item) && value(item).Value == text())
       break; // an answer was lost
     if (ok(item)) {
-      const auto swap =
-          co_await Store.swap(ConfigKey, value(item).Revision, text());
+      const auto swap = co_await Store.compareAndSwap(
+          ConfigKey, value(item).Revision, text());
       if (ok(swap) && value(swap).Swapped)
         break;
     }
--- a/test/soak/workers.cc
+++ b/test/soak/workers.cc
@@ -100,8 +100,8 @@
   const auto renewed = co_await Store.renewLease(Lease);
   if (!ok(renewed) && error(renewed).Code != base::ErrorCode::TimedOut)
     Lease = 0;
-  const auto swap =
-      co_await Store.swap("servers/" + Id, Revision, entry.dump(), Lease);
+  const auto swap = co_await Store.compareAndSwap("servers/" + Id, Revision,
+                                                  entry.dump(), Lease);
   if (life != Life || !ok(swap))
     co_return false;
   // An answer that was lost: the next beat goes on from what is there.
@@ -118,8 +118,8 @@
     co_return;
   const std::string key =
       "servers/x-" + std::to_string(Random.below(1'000'000'000));
-  co_await Store.swap(key, 0, Texts[Random.below(std::size(Texts))],
-                      value(lease));
+  co_await Store.compareAndSwap(key, 0, Texts[Random.below(std::size(Texts))],
+                                value(lease));
 }
 
 asio::awaitable<void> Worker::keepListed() {
@@ -276,7 +276,7 @@
       !from.empty() && !last.empty())
     generation->NextEvent = std::stoi(last) + 1;
   Running[attempt] = generation;
-  x.onGone([generation] { generation->IsStopped = true; });
+  x.onDisconnect([generation] { generation->IsStopped = true; });
   http::Response head = own(request, 200, "");
   head.Headers.push_back({"Content-Type", "text/event-stream"});
   co_await x.beginBody(200, std::move(head.Headers));
--- a/test/store-session-test.cc
+++ b/test/store-session-test.cc
@@ -1,8 +1,8 @@
 // A whole gateway before a stand-in for the platform's store, whose connections
 // go silent or which does not answer this gateway alone.
 #include "gateway.pb.h"
-#include "platform/dialect.h"
-#include "platform/source.h"
+#include "platform/protocol-codec.h"
+#include "platform/store-reader.h"
 #include "shell.h"
 
 #include "drumlanding/base/hash.h"
@@ -76,12 +76,12 @@
   struct Entry {
     std::string Value;
     std::uint64_t Revision = 0;
-    bool IsGone = false;
+    bool IsRemoved = false;
   };
 
   static Json toJson(const std::string &key, const Entry &entry) {
     Json json{{"tlsKey", key}, {"rev", entry.Revision}};
-    if (entry.IsGone)
+    if (entry.IsRemoved)
       json["gone"] = true;
     else
       json["value"] = platform::encodeValue(entry.Value);
@@ -93,7 +93,7 @@
     Json list = Json::array();
     for (const auto &[key, entry] : Entries)
       if (key.starts_with(prefix) && entry.Revision > after &&
-          (withGone || !entry.IsGone))
+          (withGone || !entry.IsRemoved))
         list.push_back(toJson(key, entry));
     return list;
   }
@@ -305,8 +305,9 @@
     settings.ControlListen = ControlAt;
     settings.Seeds = std::move(seeds);
     settings.Retries = {0.2, 50, seconds(10)};
-    auto shell = Shell::start(Io, Clock, settings, platform::makeDialect(),
-                              platform::makeSource(Client));
+    auto shell =
+        Shell::start(Io, Clock, settings, platform::makeProtocolCodec(),
+                     platform::makeStoreReader(Client));
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
     At = settings.Listen;
@@ -336,9 +337,9 @@
                           std::move(path),
                           {{"Host", "a.example"}, {"X-Attempt-Id", "id-1"}},
                           {}};
-    http::Fetched fetched =
+    http::FetchResult fetched =
         co_await http::fetch(At, std::move(request), TestLimit);
-    co_return ok(fetched.Answer) ? value(fetched.Answer).Status : 0;
+    co_return ok(fetched.Outcome) ? value(fetched.Outcome).Status : 0;
   }
 
   asio::awaitable<void> call(int times) {
--- a/test/world.cc
+++ b/test/world.cc
@@ -835,9 +835,9 @@
   } else if (auto *c = std::get_if<entry::RefuseSession>(&command)) {
     Caller *caller = callerOf(c->Session);
     const bool comesBack = caller && caller->Resumes > 0 &&
-                           (c->Why.Why == base::Reason::NotReady ||
-                            c->Why.Why == base::Reason::NotFound ||
-                            c->Why.Why == base::Reason::BackendServerLost);
+                           (c->Why.Reason == base::Reason::NotReady ||
+                            c->Why.Reason == base::Reason::NotFound ||
+                            c->Why.Reason == base::Reason::BackendServerLost);
     if (comesBack) {
       at(500ms, [this, caller] { resume(*caller); });
     } else if (caller) {
@@ -889,7 +889,7 @@
     if (saidNotRun && didRun && !caller->IsRepeat && caller->Resumes == 0 &&
         !caller->IsCancel)
       wrong += fmt::format("{}: said not run ({}), but it ran; ",
-                           caller->Marker, toString(caller->Refused->Why));
+                           caller->Marker, toString(caller->Refused->Reason));
     if (caller->IsWhole && !caller->IsCancel && !didRun)
       wrong += caller->Marker + ": answered, but never ran; ";
   }
@@ -912,7 +912,7 @@
 std::size_t World::refusedWith(base::Reason why) const {
   return static_cast<std::size_t>(
       std::count_if(Callers.begin(), Callers.end(), [&](const auto &c) {
-        return c->Refused && c->Refused->Why == why;
+        return c->Refused && c->Refused->Reason == why;
       }));
 }
 std::size_t World::requests() const { return Callers.size(); }
--- a/tools/fake-engine.cc
+++ b/tools/fake-engine.cc
@@ -271,7 +271,7 @@
 
   asio::awaitable<void> sendEvents(std::shared_ptr<Stream> stream,
                                    std::uint64_t number, http::Exchange &x) {
-    x.onGone([this, id = stream->Id, number] {
+    x.onDisconnect([this, id = stream->Id, number] {
       const auto it = Numbers.find(id);
       if (it != Numbers.end() && it->second == number)
         stop(id, false);
--- a/tools/fake-platform.cc
+++ b/tools/fake-platform.cc
@@ -48,7 +48,7 @@
 struct Change {
   std::uint64_t Revision = 0;
   std::string Key;
-  bool IsGone = false;
+  bool IsRemoved = false;
   StoredEntry Entry;
 };
 
@@ -100,7 +100,7 @@
       co_await x.send(emptyResponse(200));
       co_return;
     }
-    const bool isRenewal = path.starts_with(names::call::LeaseRenew);
+    const bool isRenewal = path.starts_with(names::path::LeaseRenew);
     const bool isWrite = request.Method != "GET" && !isRenewal;
     const bool isAllowed = isWrite ? Writes.take(FLAGS_writes_per_second)
                                    : Reads.take(FLAGS_reads_per_second);
@@ -108,7 +108,7 @@
       co_await x.send(errorResponse(429, "rate limit"));
       co_return;
     }
-    if (path == names::call::StoreWatch)
+    if (path == names::path::StoreWatch)
       co_await waitForChange(request);
     http::Response response = answer(request);
     if (isWrite && TheFaults.LoseAnswers > 0 && response.Status == 200) {
@@ -190,17 +190,17 @@
 
   http::Response answer(const http::Request &request) {
     const std::string path(request.path());
-    if (path == names::call::StoreKey)
+    if (path == names::path::StoreKey)
       return read(request);
-    if (path == names::call::StoreRange)
+    if (path == names::path::StoreRange)
       return range(request);
-    if (path == names::call::StoreWatch)
+    if (path == names::path::StoreWatch)
       return watch(request);
-    if (path == names::call::StoreWrite && request.Method == "POST")
+    if (path == names::path::StoreWrite && request.Method == "POST")
       return write(request);
-    if (path == names::call::LeaseGrant && request.Method == "POST")
+    if (path == names::path::LeaseGrant && request.Method == "POST")
       return grant(request);
-    if (path.starts_with(names::call::LeaseRenew) && request.Method == "POST")
+    if (path.starts_with(names::path::LeaseRenew) && request.Method == "POST")
       return renew(request);
     return errorResponse(404, "unknown call");
   }
@@ -230,10 +230,10 @@
       return errorResponse(410, "the history is gone");
     Json events = Json::array();
     for (const Change *change : changesFor(request))
-      events.push_back(change->IsGone ? Json{{"tlsKey", change->Key},
-                                             {"rev", change->Revision},
-                                             {"gone", true}}
-                                      : toJson(change->Key, change->Entry));
+      events.push_back(change->IsRemoved ? Json{{"tlsKey", change->Key},
+                                                {"rev", change->Revision},
+                                                {"gone", true}}
+                                         : toJson(change->Key, change->Entry));
     return jsonResponse(200, {{"events", events}, {"at", Revision}});
   }
 
@@ -280,7 +280,7 @@
 
   http::Response renew(const http::Request &request) {
     const std::uint64_t id =
-        numberOf(request.path().substr(names::call::LeaseRenew.size()), 0);
+        numberOf(request.path().substr(names::path::LeaseRenew.size()), 0);
     const auto it = Leases.find(id);
     if (it == Leases.end())
       return errorResponse(404, "the lease has lapsed");
--- a/tools/load.cc
+++ b/tools/load.cc
@@ -262,11 +262,11 @@
         Json{{"id", id}}.dump()};
     const auto fetched =
         co_await http::fetch(anyEntry(), std::move(request), CallLimit);
-    if (!ok(fetched.Answer)) {
+    if (!ok(fetched.Outcome)) {
       Counts.Unanswered += isRepeat ? 0 : 1;
       co_return;
     }
-    const http::Response &response = value(fetched.Answer);
+    const http::Response &response = value(fetched.Outcome);
     if (response.Status == 200) {
       const Json json = Json::parse(response.Body, nullptr, false);
       if (!json.is_object() || json.value("id", "") != id)
@@ -311,9 +311,9 @@
     request.Target = path;
     const auto fetched =
         co_await http::fetch(to, std::move(request), milliseconds(5'000));
-    if (!ok(fetched.Answer))
+    if (!ok(fetched.Outcome))
       co_return Json::object();
-    Json json = Json::parse(value(fetched.Answer).Body, nullptr, false);
+    Json json = Json::parse(value(fetched.Outcome).Body, nullptr, false);
     co_return json.is_object() ? json : Json::object();
   }
 
