--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -190,11 +190,11 @@
   const bundle::Organisation *organisation =
       bundle ? bundle->organisation(start.organisation()) : nullptr;
   JobSpec spec;
-  if (refusal.Why == Reason::None && !organisation)
+  if (refusal.Reason == Reason::None && !organisation)
     refusal = {Verdict::NotRun, Reason::UnknownOrganisation, {}};
-  if (refusal.Why == Reason::None && !isModelLoaded(Models, start))
+  if (refusal.Reason == Reason::None && !isModelLoaded(Models, start))
     refusal = {Verdict::NotRun, Reason::UnknownModel, NotReadyRetryDelay};
-  if (refusal.Why == Reason::None) {
+  if (refusal.Reason == Reason::None) {
     const bundle::Contract &contract = organisation->Contract;
     spec = {
         start.organisation(),  lengthClass(start.organisation(), start.model()),
@@ -206,10 +206,10 @@
     if (wait > contract.MaxQueueWait)
       refusal = {Verdict::NotRun, Reason::Overloaded, wait};
   }
-  if (refusal.Why != Reason::None) {
+  if (refusal.Reason != Reason::None) {
     logDecision("agent.admit",
                 fmt::format("refuse request={} reason={}", start.request_id(),
-                            toString(refusal.Why)));
+                            toString(refusal.Reason)));
     Generations->recordTombstone(now, start.request_id());
     refuse(id, refusal);
     return;
@@ -229,9 +229,9 @@
     const bool isOwner =
         call.repeatable() ||
         ownerOfKey(ServiceServers, call.request_id()) == Options.Server;
-    if (refusal.Why == Reason::None && !isOwner)
+    if (refusal.Reason == Reason::None && !isOwner)
       refusal = {Verdict::NotRun, Reason::WrongOwner, ShortRetryDelay};
-    if (refusal.Why != Reason::None) {
+    if (refusal.Reason != Reason::None) {
       Calls->refuseAndTombstone(now, id, call.attempt(), refusal);
       return;
     }
--- a/src/agent/generation-table.cc
+++ b/src/agent/generation-table.cc
@@ -78,7 +78,7 @@
       g.Lifecycle.state() == GenerationState::Failed && !g.WasSubmitted;
   if (g.IsTombstone || neverRan) {
     refuse(replyId,
-           {Verdict::NotRun, g.IsTombstone ? Reason::Revoked : g.Failure.Why,
+           {Verdict::NotRun, g.IsTombstone ? Reason::Revoked : g.Failure.Reason,
             g.Failure.RetryAfter});
     return;
   }
@@ -163,7 +163,7 @@
   if (stopOnEngine && (isOnEngine || isYielded))
     Out.push_back(StopOnEngine{id, false});
   logDecision(fmt::format("end request={} verdict={} reason={} tokens={}", id,
-                          toString(why.Outcome), toString(why.Why),
+                          toString(why.Outcome), toString(why.Reason),
                           g.Tokens.size()));
 }
 
--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -167,7 +167,7 @@
   if (verdict == Verdict::NotRun)
     response.Status = NotRunStatus;
   response.ContentType = "text/plain";
-  response.Body = std::string(base::explain(why)) + "\n";
+  response.Body = std::string(base::describe(why)) + "\n";
   if (verdict == Verdict::NotRun)
     response.Headers.push_back(
         {"Retry-After",
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -34,7 +34,7 @@
       Ctx, Ctx.Codec.ReadRequest(std::move(http)));
   f->ReceivedAt = Ctx.now();
   if (Ctx.IsLeaving)
-    x.closeAfter();
+    x.closeAfterResponse();
   if (auto answer = admit(*f)) {
     Ctx.Codec.MarkAnswer(f->Request, *answer);
     logRequestEnd(*f, answer->Status, "not admitted");
@@ -44,7 +44,7 @@
   ++Ctx.OpenRequests;
   f->startDeadlineTimer();
   std::weak_ptr<ForwardedRequest> weak = f;
-  x.onGone([weak] {
+  x.onDisconnect([weak] {
     const auto forwarding = weak.lock();
     if (!forwarding)
       return;
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -97,7 +97,7 @@
                                           const http::Request &request) {
   updateGauges(ctx);
   const auto isReady = [&ctx] { return ctx.isReady(); };
-  return daemon::operatorsPage(request, ctx.Metrics, isReady);
+  return daemon::handleOperatorRequest(request, ctx.Metrics, isReady);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -307,22 +307,22 @@
 
 asio::awaitable<void> Gossip::fetchConfig(Peer from) {
   http::Request request{"GET", std::string(ConfigPath), {}, {}};
-  http::Fetched fetched =
+  http::FetchResult fetched =
       co_await http::fetch(from.Address, std::move(request), FetchTimeout);
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != HttpOk) {
+  if (!ok(fetched.Outcome) || value(fetched.Outcome).Status != HttpOk) {
     recordFetchFailure(from, "config");
     co_return;
   }
-  Ctx.applyConfig(std::move(value(fetched.Answer).Body), from.Name);
+  Ctx.applyConfig(std::move(value(fetched.Outcome).Body), from.Name);
 }
 
 asio::awaitable<void> Gossip::fetchServers(Peer from) {
   http::Request request{"GET", std::string(ServersPath), {}, {}};
-  http::Fetched fetched =
+  http::FetchResult fetched =
       co_await http::fetch(from.Address, std::move(request), FetchTimeout);
   wire::ServerList list;
-  if (!ok(fetched.Answer) || value(fetched.Answer).Status != HttpOk ||
-      !list.ParseFromString(value(fetched.Answer).Body)) {
+  if (!ok(fetched.Outcome) || value(fetched.Outcome).Status != HttpOk ||
+      !list.ParseFromString(value(fetched.Outcome).Body)) {
     recordFetchFailure(from, "servers");
     co_return;
   }
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -153,9 +153,9 @@
                         isLast};
   http::Request request = Ctx.Codec.ToMove(order);
   const base::Instant startedAt = Ctx.now();
-  http::Fetched fetched = co_await http::fetch(source.Listed.Address,
-                                               std::move(request), CopyTimeout);
-  const MoveAnswer answer = Ctx.Codec.ReadMove(fetched.Answer);
+  http::FetchResult fetched = co_await http::fetch(
+      source.Listed.Address, std::move(request), CopyTimeout);
+  const MoveAnswer answer = Ctx.Codec.ReadMove(fetched.Outcome);
   countMigrationStep(Ctx.Metrics, isLast ? "copied last" : "copied",
                      answer.What == Outcome::Copied);
   Ctx.Log.write("move-copied", {{"request", run->F.Request.AttemptId},
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -137,7 +137,7 @@
   Ctx.IsLeaving = true;
   Ctx.LeavingSince = Ctx.now();
   Ctx.Log.write("stopping", {{"open", Ctx.OpenRequests}});
-  CallerServer->closeAfterAnswers();
+  CallerServer->closeAfterResponses();
   asio::co_spawn(Ctx.Io, drainAndStop(), asio::detached);
 }
 
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -1,7 +1,7 @@
 // A whole gateway in one process, before servers of the test's own on loopback:
 // requests, streams and moves, with each thing that can go wrong on the way.
 // Waits are on conditions; no test depends on how long something takes.
-#include "platform/dialect.h"
+#include "platform/protocol-codec.h"
 #include "shell.h"
 
 #include "drumlanding/daemon/sleep.h"
@@ -138,7 +138,7 @@
       co_await x.send(std::move(refused));
       co_return;
     }
-    x.onGone([this] { ++Disconnects; });
+    x.onDisconnect([this] { ++Disconnects; });
     std::vector<http::Header> headers = ownResponse(request, 200, "").Headers;
     headers.push_back({"Content-Type", "text/event-stream"});
     co_await x.beginBody(200, headers);
@@ -302,7 +302,8 @@
     settings.ReadyListen = freeEndpoint();
     settings.ControlListen = freeEndpoint();
     settings.Retries = {0.2, 50, seconds(10)};
-    auto shell = Shell::start(Io, Clock, settings, platform::makeDialect(),
+    auto shell = Shell::start(Io, Clock, settings,
+                              platform::makeProtocolCodec(),
                               storeReader());
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
@@ -347,12 +348,12 @@
   }
 
   asio::awaitable<http::Response> call(http::Request r) {
-    http::Fetched fetched =
+    http::FetchResult fetched =
         co_await http::fetch(ListenAddress, std::move(r), TestLimit);
-    EXPECT_TRUE(ok(fetched.Answer));
-    if (!ok(fetched.Answer))
+    EXPECT_TRUE(ok(fetched.Outcome));
+    if (!ok(fetched.Outcome))
       co_return http::Response{0, "", "", {}};
-    co_return std::move(value(fetched.Answer));
+    co_return std::move(value(fetched.Outcome));
   }
 
   asio::awaitable<ReceivedStream> readStream(std::string path) {
@@ -393,9 +394,9 @@
     EXPECT_EQ(r.Status, 503);
     EXPECT_FALSE(http::findHeader(r.Headers, "Retry-After").empty());
     http::Request ready{"GET", "/drumlanding/readyz", {}, {}};
-    http::Fetched f =
+    http::FetchResult f =
         co_await http::fetch(ReadyAddress, std::move(ready), TestLimit);
-    EXPECT_EQ(base::value(f.Answer).Status, 503);
+    EXPECT_EQ(base::value(f.Outcome).Status, 503);
   });
 }
 
@@ -582,7 +583,7 @@
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
     const ReceivedStream r = co_await readStream("/stream/x");
-    EXPECT_TRUE(r.End.Whole);
+    EXPECT_TRUE(r.End.IsComplete);
     EXPECT_EQ(r.Ids.size(), 30U);
     expectInOrder(r);
   });
@@ -601,7 +602,7 @@
                                 engine.IsDead = r.Ids.size() == 5;
                                 return true;
                               });
-    EXPECT_FALSE(r.End.Whole);
+    EXPECT_FALSE(r.End.IsComplete);
     EXPECT_GE(r.Ids.size(), 5U);
     expectInOrder(r);
   });
@@ -635,7 +636,7 @@
                                 r.Ids.push_back(event.Id);
                                 return true;
                               });
-    EXPECT_TRUE(r.End.Whole);
+    EXPECT_TRUE(r.End.IsComplete);
     expectInOrder(r);
     EXPECT_FALSE(Gateway->context().isReady());
   });
@@ -684,12 +685,12 @@
           return true;
         });
     expectInOrder(r);
-    EXPECT_EQ(r.End.Whole,
+    EXPECT_EQ(r.End.IsComplete,
               r.Ids.size() == static_cast<std::size_t>(MigrationEvents));
     const bool isLost = fault == MigrationFault::FinalResponseLost ||
                         fault == MigrationFault::DestinationDies ||
                         fault == MigrationFault::SourceDies;
-    EXPECT_EQ(r.End.Whole, !isLost);
+    EXPECT_EQ(r.End.IsComplete, !isLost);
     if (fault == MigrationFault::None || fault == MigrationFault::NoRunYet) {
       EXPECT_EQ(destination.Requests.size(), 1U);
     }
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -863,9 +863,9 @@
   } else if (auto *c = std::get_if<entry::RefuseSession>(&command)) {
     Caller *caller = callerOf(c->Session);
     const bool retries = caller && caller->Resumes > 0 &&
-                         (c->Why.Why == base::Reason::NotReady ||
-                          c->Why.Why == base::Reason::NotFound ||
-                          c->Why.Why == base::Reason::BackendServerLost);
+                         (c->Why.Reason == base::Reason::NotReady ||
+                          c->Why.Reason == base::Reason::NotFound ||
+                          c->Why.Reason == base::Reason::BackendServerLost);
     if (retries) {
       scheduleAfter(500ms, [this, caller] { resume(*caller); });
     } else if (caller) {
@@ -918,7 +918,7 @@
     if (wasToldNotRun && didRun && !caller->IsRepeated &&
         caller->Resumes == 0 && !caller->IsCancel)
       violations += fmt::format("{}: said not run ({}), but it ran; ",
-                                caller->Marker, toString(caller->Refused->Why));
+                                caller->Marker, toString(caller->Refused->Reason));
     if (caller->IsComplete && !caller->IsCancel && !didRun)
       violations += caller->Marker + ": answered, but never ran; ";
   }
@@ -941,7 +941,7 @@
 std::size_t SimulatedCluster::refusedWith(base::Reason why) const {
   return static_cast<std::size_t>(
       std::count_if(Callers.begin(), Callers.end(), [&](const auto &c) {
-        return c->Refused && c->Refused->Why == why;
+        return c->Refused && c->Refused->Reason == why;
       }));
 }
 std::size_t SimulatedCluster::requests() const { return Callers.size(); }
--- a/test/store-session-test.cc
+++ b/test/store-session-test.cc
@@ -1,8 +1,8 @@
 // A whole gateway before a stand-in for the platform's store, whose connections
 // go silent or which does not answer this gateway alone.
 #include "gateway.pb.h"
-#include "platform/dialect.h"
-#include "platform/source.h"
+#include "platform/protocol-codec.h"
+#include "platform/store-reader.h"
 #include "shell.h"
 
 #include "drumlanding/base/hash.h"
@@ -305,8 +305,9 @@
     settings.ControlListen = ControlAddress;
     settings.Seeds = std::move(seeds);
     settings.Retries = {0.2, 50, seconds(10)};
-    auto shell = Shell::start(Io, Clock, settings, platform::makeDialect(),
-                              platform::makeSource(StoreClient));
+    auto shell =
+        Shell::start(Io, Clock, settings, platform::makeProtocolCodec(),
+                     platform::makeStoreReader(StoreClient));
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
     ListenAddress = settings.Listen;
@@ -336,9 +337,9 @@
                           std::move(path),
                           {{"Host", "a.example"}, {"X-Attempt-Id", "id-1"}},
                           {}};
-    http::Fetched fetched =
+    http::FetchResult fetched =
         co_await http::fetch(ListenAddress, std::move(request), TestLimit);
-    co_return ok(fetched.Answer) ? value(fetched.Answer).Status : 0;
+    co_return ok(fetched.Outcome) ? value(fetched.Outcome).Status : 0;
   }
 
   asio::awaitable<void> call(int times) {
