--- a/include/drumlanding/gateway/attempt-policy.h
+++ b/include/drumlanding/gateway/attempt-policy.h
@@ -11,12 +11,12 @@
 namespace drumlanding::gateway {
 
 /// How one attempt ended.
-enum class AttemptEnd {
+enum class AttemptOutcome {
   Served,      ///< A whole answer that is no failure.
   Failed,      ///< A whole answer that is the server's own failure: it ran.
   NotRun,      ///< The server says that it did not run the request.
-  OtherServer, ///< Another server answers there: the one meant has ended.
-  Broken,      ///< It was sent, and no whole answer came.
+  WrongServer, ///< Another server answers there: the one meant has ended.
+  Incomplete,  ///< It was sent, and no whole answer came.
   Unreachable, ///< Nothing was sent.
 };
 
@@ -28,7 +28,7 @@
 };
 
 struct AttemptState {
-  AttemptEnd End = AttemptEnd::Broken;
+  AttemptOutcome Outcome = AttemptOutcome::Incomplete;
   RequestKind Kind = RequestKind::NonIdempotent;
   /// Servers that the request was sent to, and the most that it may be. One
   /// that had ended already does not count.
@@ -47,28 +47,29 @@
 
 /// A request that has met so many servers, most of them ended, is refused: its
 /// caller can come back when the list is right again.
-inline constexpr int MostArrivals = 4;
+inline constexpr int MaxArrivals = 4;
 
 /// Returns what to do; `takeRetry` is asked only when a second send would
 /// follow, and takes it from the budget.
 template <typename TakeRetry>
 Step nextStep(const AttemptState &s, TakeRetry takeRetry) {
-  if (s.End == AttemptEnd::Served)
+  if (s.Outcome == AttemptOutcome::Served)
     return Step::Deliver;
-  const bool canRun =
-      s.Kind == RequestKind::Idempotent || s.End == AttemptEnd::NotRun ||
-      s.End == AttemptEnd::OtherServer || s.End == AttemptEnd::Unreachable;
+  const bool canRun = s.Kind == RequestKind::Idempotent ||
+                      s.Outcome == AttemptOutcome::NotRun ||
+                      s.Outcome == AttemptOutcome::WrongServer ||
+                      s.Outcome == AttemptOutcome::Unreachable;
   const bool isPossible = canRun && s.HasTime && s.HasServer;
   if (isPossible && s.Arrivals == 0)
     return Step::TryAnother;
-  if (isPossible && s.Sends < s.MaxSends && s.Arrivals < MostArrivals &&
+  if (isPossible && s.Sends < s.MaxSends && s.Arrivals < MaxArrivals &&
       takeRetry())
     return Step::TryAnother;
-  if (s.End == AttemptEnd::Failed)
+  if (s.Outcome == AttemptOutcome::Failed)
     return Step::Deliver;
-  const bool isProven = s.End == AttemptEnd::NotRun ||
-                        s.End == AttemptEnd::OtherServer ||
-                        s.End == AttemptEnd::Unreachable;
+  const bool isProven = s.Outcome == AttemptOutcome::NotRun ||
+                        s.Outcome == AttemptOutcome::WrongServer ||
+                        s.Outcome == AttemptOutcome::Unreachable;
   if (isProven && !s.MayHaveRun)
     return Step::RefuseNotRun;
   return Step::GiveUpMayHaveRun;
--- a/include/drumlanding/gateway/config.h
+++ b/include/drumlanding/gateway/config.h
@@ -40,7 +40,7 @@
   /// Within this time an answer is worth most.
   base::milliseconds LatencyTarget{1'000};
   /// Streams: the longest pause between events that is still in time.
-  base::milliseconds LongestPause{0};
+  base::milliseconds MaxEventGap{0};
   /// 0 is the most urgent.
   int Priority = 0;
   /// Most backend servers that one request may be sent to.
@@ -53,12 +53,12 @@
 /// What the engines of a service can do.
 struct EngineTraits {
   /// Tokens that fit into its memory.
-  std::uint64_t MemoryTokens = 0;
+  std::uint64_t KvCacheTokens = 0;
   std::uint64_t BytesPerToken = 0;
   /// Rate at which memory is copied to another engine.
   double LinkMbps = 0;
   /// Whether a running generation's memory can be moved.
-  bool CanMove = false;
+  bool CanMigrate = false;
   /// Tokens that one event of a stream carries.
   int TokensPerEvent = 1;
 };
@@ -95,20 +95,20 @@
   std::string Id;
   /// When it started, as a Unix time; 0 when it does not say. A server that has
   /// started again may have its old id.
-  base::milliseconds BornAt{0};
+  base::milliseconds StartedAt{0};
   std::string Service;
   base::Endpoint Address;
   std::string Zone;
   int Slots = 1;
   ServerState State = ServerState::Ready;
   /// How much longer it is slow after its start.
-  base::milliseconds ColdLeft{0};
+  base::milliseconds ColdRemaining{0};
   /// The store's revision of this entry; 0 when unknown.
   std::uint64_t Revision = 0;
 };
 
 /// An entry that the store no longer holds, as of a revision.
-struct GoneServer {
+struct RemovedServer {
   std::string Id;
   std::uint64_t Revision = 0;
 };
@@ -117,7 +117,7 @@
 struct ServerList {
   std::uint64_t Revision = 0;
   std::vector<ListedServer> Servers;
-  std::vector<GoneServer> Gone;
+  std::vector<RemovedServer> Removed;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/datagrams.h
+++ b/include/drumlanding/gateway/datagram-socket.h
@@ -21,22 +21,22 @@
 
 namespace asio = boost::asio;
 
-class Datagrams {
+class DatagramSocket {
 public:
   using Sender = asio::ip::udp::endpoint;
   using Handler = std::function<void(std::string_view bytes, const Sender &)>;
 
-  static base::Result<std::unique_ptr<Datagrams>>
+  static base::Result<std::unique_ptr<DatagramSocket>>
   open(asio::io_context &io, const base::Endpoint &at);
 
   void send(const base::Endpoint &to, std::string_view bytes);
-  void answer(const Sender &to, std::string_view bytes);
+  void reply(const Sender &to, std::string_view bytes);
 
   /// Calls `handle` for each datagram until the process ends.
   asio::awaitable<void> receive(Handler handle);
 
 private:
-  explicit Datagrams(asio::io_context &io) : Socket(io) {}
+  explicit DatagramSocket(asio::io_context &io) : Socket(io) {}
 
   asio::ip::udp::socket Socket;
 };
--- a/include/drumlanding/gateway/directory.h
+++ b/include/drumlanding/gateway/directory.h
@@ -26,7 +26,7 @@
 enum class ServerOutcome {
   Served,      ///< An answer of its own, whole.
   Failed,      ///< A failure of its own, whole.
-  Broken,      ///< A broken answer, or none.
+  Incomplete,  ///< A broken answer, or none.
   Refused,     ///< It said that it did not run the request.
   Unreachable, ///< No connection came about.
 };
@@ -40,7 +40,7 @@
   /// It is slow until then.
   base::Instant ColdUntil{};
   /// When it will be gone; unset when unknown.
-  base::Instant GoneAt{};
+  base::Instant ShutdownAt{};
   /// It said that it leaves, and gave no time: it serves as long as planned.
   bool IsPlannedLeave = false;
   /// Another server answers at its address.
@@ -53,20 +53,20 @@
   std::uint64_t Revision = 0;
   /// It is taken to be leaving only because the list lost it: a new entry of
   /// its own shows that it is not.
-  bool IsLeavingByAbsence = false;
+  bool IsPresumedLeaving = false;
   /// Recent failures as a part of recent outcomes; old ones fade.
-  double FailurePart = 0;
+  double FailureRate = 0;
   /// Broken answers since the last whole one, here or at another gateway.
-  int BrokenAnswers = 0;
+  int IncompleteResponses = 0;
   /// Not chosen before this moment.
-  base::Instant AvoidUntil{};
+  base::Instant EjectedUntil{};
   /// Requests of this gateway in progress there.
-  int Open = 0;
+  int OpenRequests = 0;
 };
 
 /// Returns the broken answers that still count: they expire some time after the
 /// server was last avoided, or it would never be tried again.
-int brokenAnswersOf(const Server &server, base::Instant now);
+int recentIncompleteResponses(const Server &server, base::Instant now);
 
 /// What a change of what is believed of a server rests on.
 enum class Evidence {
@@ -80,25 +80,25 @@
 std::string_view toString(Evidence evidence);
 
 /// A server that a gateway avoids, as it tells the others.
-struct AvoidedServer {
+struct EjectedServer {
   std::string Id;
-  int BrokenAnswers = 0;
-  base::milliseconds Left{0};
-  base::milliseconds BornAt{0};
+  int IncompleteResponses = 0;
+  base::milliseconds Remaining{0};
+  base::milliseconds StartedAt{0};
 };
 
 /// One life of a server: it may start again under its id.
-struct ServerLife {
+struct ServerInstance {
   std::string Id;
   /// When it started, as a Unix time; 0 when it does not say.
-  base::milliseconds BornAt{0};
-  bool operator==(const ServerLife &) const = default;
+  base::milliseconds StartedAt{0};
+  bool operator==(const ServerInstance &) const = default;
 };
 
 /// What the process beside a server says of it.
 struct ServerNotice {
   /// The server as it would be listed.
-  ListedServer Seen;
+  ListedServer Entry;
   bool IsLeaving = false;
   /// How long until it is gone; 0 when it does not say.
   base::milliseconds LeavesIn{0};
@@ -109,15 +109,15 @@
   /// After the earliest time at which the store can have returned, lapsed
   /// entries have this long to come back: the servers write theirs again within
   /// two seconds, and after three a gateway is bound by what has gone.
-  static constexpr base::milliseconds GraceAfterReturn{2'700};
+  static constexpr base::milliseconds OutageGrace{2'700};
   /// How often servers renew their entries unless the settings say otherwise.
-  static constexpr base::milliseconds DefaultRenewal{1'200};
+  static constexpr base::milliseconds DefaultRenewalInterval{1'200};
   /// A server that the list has lost, or that is leaving, is forgotten after
   /// this: its last requests have ended by then.
-  static constexpr base::seconds ForgetAfter{60};
+  static constexpr base::seconds RemovedServerRetention{60};
 
-  explicit Directory(base::milliseconds renewal = DefaultRenewal)
-      : LapseTime(LapsedRenewals * renewal) {}
+  explicit Directory(base::milliseconds renewal = DefaultRenewalInterval)
+      : ExpiryTime(MissedRenewals * renewal) {}
 
   /// Called when a server is first known to leave.
   std::function<void(const Server &)> OnLeaving;
@@ -129,7 +129,7 @@
       OnChange;
 
   /// Called when the store is heard again after an outage, with its length.
-  std::function<void(base::Duration)> OnOutageOver;
+  std::function<void(base::Duration)> OnOutageEnd;
 
   /// True when a listed server is known here as it is listed there.
   bool isListedAs(const ListedServer &listed) const;
@@ -139,17 +139,17 @@
 
   /// Takes the whole list: what is not in it has gone, unless it was listed by
   /// a later revision.
-  void replaceAll(base::Instant now, const ServerList &list,
-                  Evidence evidence = Evidence::Store);
+  void applySnapshot(base::Instant now, const ServerList &list,
+                     Evidence evidence = Evidence::Store);
   /// Takes an entry, unless a later revision of it, or a later life of the
   /// server, is known.
   void put(base::Instant now, const ListedServer &server,
            Evidence evidence = Evidence::Store);
   /// The list no longer holds the server, unless a later revision is known.
-  void remove(base::Instant now, const GoneServer &gone,
+  void remove(base::Instant now, const RemovedServer &gone,
               Evidence evidence = Evidence::Store);
   /// The server itself, or another gateway, says that it is leaving.
-  void markLeaving(base::Instant now, const ServerLife &life);
+  void markLeaving(base::Instant now, const ServerInstance &life);
   /// Applies a sidecar's notice: which server is there, perhaps before the list
   /// names it, and whether it is leaving.
   void applyNotice(base::Instant now, const ServerNotice &notice);
@@ -158,19 +158,20 @@
 
   /// The store's list was read at `at`, by this gateway or by one that says so
   /// itself, and no outage is known to the reader since `since`.
-  void noteStoreContact(base::Instant at, base::Instant since);
+  void recordStoreContact(base::Instant at, base::Instant since);
   /// Since when no outage of the store is known.
-  base::Instant steadySince() const { return SteadySince; }
+  base::Instant storeStableSince() const { return StoreStableSince; }
   /// Evicts servers that were not listed again in time.
   void tick(base::Instant now);
 
-  void note(base::Instant now, std::string_view id, ServerOutcome outcome);
+  void recordOutcome(base::Instant now, std::string_view id,
+                     ServerOutcome outcome);
   /// Another gateway avoids a server.
-  void applyAvoided(base::Instant now, const AvoidedServer &avoided);
+  void applyEjection(base::Instant now, const EjectedServer &avoided);
   /// The servers that broken answers make this gateway avoid.
-  std::vector<AvoidedServer> avoided(base::Instant now) const;
-  void opened(std::string_view id);
-  void closed(std::string_view id);
+  std::vector<EjectedServer> ejected(base::Instant now) const;
+  void requestStarted(std::string_view id);
+  void requestEnded(std::string_view id);
 
   const Server *find(std::string_view id) const;
   std::vector<const Server *> all() const;
@@ -182,35 +183,35 @@
   ServerList list() const;
   /// The servers that have lately become known to be leaving, not by absence
   /// alone, for other gateways.
-  std::vector<ServerLife> leaving(base::Instant now) const;
+  std::vector<ServerInstance> leaving(base::Instant now) const;
   /// A number that is the same when two gateways have been told the same list.
   std::uint64_t digest() const;
   bool isEmpty() const { return Servers.empty(); }
 
 private:
-  void leave(base::Instant now, Server &server, Evidence evidence);
-  void leaveByAbsence(base::Instant now, Server &server, Evidence evidence);
+  void setLeaving(base::Instant now, Server &server, Evidence evidence);
+  void presumeLeaving(base::Instant now, Server &server, Evidence evidence);
   void markAbsent(Server &server, Evidence evidence);
   void restart(Server &server, base::milliseconds bornAt, Evidence evidence);
   void replaceOthersAt(base::Instant now, const ListedServer &seen);
-  void changed(std::string_view event, Evidence evidence,
-               const Server &server) const;
-  bool mayHaveLapsed(base::Instant now) const;
+  void reportChange(std::string_view event, Evidence evidence,
+                    const Server &server) const;
+  bool mayHaveExpired(base::Instant now) const;
 
   /// Entries lapse after three renewals are missed; the first of them may have
   /// been due right after the store went away.
-  static constexpr int LapsedRenewals = 2;
+  static constexpr int MissedRenewals = 2;
 
   std::map<std::string, Server, std::less<>> Servers;
-  base::milliseconds LapseTime;
+  base::milliseconds ExpiryTime;
   base::Instant StoreContactAt{};
-  base::Instant SteadySince{};
+  base::Instant StoreStableSince{};
   /// When the store was last heard before the latest outage.
-  base::Instant OutageFrom{};
+  base::Instant OutageStart{};
   base::Instant GraceUntil{};
   mutable std::uint64_t Digest = 0;
   /// False when the list has changed since the digest was worked out.
-  mutable bool IsDigestKnown = false;
+  mutable bool IsDigestCurrent = false;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/event-log.h
+++ b/include/drumlanding/gateway/event-log.h
@@ -47,7 +47,7 @@
   std::string Process;
   int Descriptor;
   std::uint64_t Dropped = 0;
-  std::uint64_t DroppedSinceLine = 0;
+  std::uint64_t DroppedSinceLastLine = 0;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/event-splitter.h
+++ b/include/drumlanding/gateway/event-splitter.h
@@ -23,19 +23,19 @@
   std::string feed(std::string_view bytes);
 
   /// Forgets a cut event: the next bytes come from another connection.
-  void restart() { Rest.clear(); }
+  void discardPartialEvent() { Pending.clear(); }
 
   /// True when an event has been begun and not ended.
-  bool hasRest() const { return !Rest.empty(); }
+  bool hasPartialEvent() const { return !Pending.empty(); }
   std::optional<std::int64_t> lastId() const { return LastId; }
-  std::uint64_t events() const { return Events; }
+  std::uint64_t eventCount() const { return EventCount; }
 
 private:
   bool isNew(std::string_view event);
 
-  std::string Rest;
+  std::string Pending;
   std::optional<std::int64_t> LastId;
-  std::uint64_t Events = 0;
+  std::uint64_t EventCount = 0;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/move-plan.h
+++ b/include/drumlanding/gateway/migration-order.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "drumlanding/gateway/config.h"
-#include "drumlanding/gateway/ledger.h"
+#include "drumlanding/gateway/run-table.h"
 
 #include <span>
 
@@ -18,12 +18,12 @@
 
 /// True when a generation may go on for longer than an engine's shortest
 /// notice, so that it is worth a move at once.
-bool mayOutlastNotice(const LedgerRun &run);
+bool mayOutlastNotice(const TrackedRun &run);
 
 /// True when no generation that comes before `own` is among those that still
 /// run there. Those that have begun and may go on for long come first, of these
 /// the ones that are worth most for the time that their copy takes.
-bool isTurn(std::span<const LedgerRun> there, const LedgerRun &own);
+bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own);
 
 /// Returns how long a copy takes when nothing else is on the links.
 base::Duration copyTime(const EngineTraits &engine, std::uint64_t tokens,
--- a/include/drumlanding/gateway/peers.h
+++ b/include/drumlanding/gateway/peers.h
@@ -34,39 +34,39 @@
   std::string Name;
   base::Endpoint Address;
   std::uint64_t Incarnation = 0;
-  base::Instant HeardAt{};
+  base::Instant LastSeenAt{};
   std::uint64_t ConfigVersion = 0;
   /// When its list of servers was last heard from the store.
-  base::Instant ListFrom{};
+  base::Instant ListUpdatedAt{};
   /// It reads the store's list itself.
   bool WatchesList = false;
 };
 
 /// A list of servers that was heard from the store longer ago than this is old:
 /// news of the store come several times a second.
-inline constexpr base::milliseconds ListIsOld{1'500};
+inline constexpr base::milliseconds MaxListAge{1'500};
 
 class Peers {
 public:
   Peers(base::Instant now, PeersOptions options);
 
-  enum class Heard {
-    Nothing,  ///< Our own message, or one that says nothing of use.
-    Newcomer, ///< The first message in a life of the other gateway.
+  enum class ReceiveResult {
+    Ignored,     ///< Our own message, or one that says nothing of use.
+    NewInstance, ///< The first message in a life of the other gateway.
     Known,
   };
   /// Notes a message from another gateway.
-  Heard heard(base::Instant now, const wire::Gossip &gossip);
+  ReceiveResult recordMessage(base::Instant now, const wire::Gossip &gossip);
 
   /// Returns whom to tell now: everyone live, and the seeds and addresses
   /// heard of that have not answered, more seldom.
-  std::vector<base::Endpoint> due(base::Instant now);
+  std::vector<base::Endpoint> sendTargets(base::Instant now);
 
   std::vector<Peer> live(base::Instant now) const;
 
   /// A gateway did not answer a question: those that failed longer ago are
   /// asked first.
-  void failed(base::Instant now, const Peer &peer);
+  void recordFetchFailure(base::Instant now, const Peer &peer);
 
   /// Returns a gateway whose config is newer than `version`.
   std::optional<Peer> withNewerConfig(base::Instant now,
@@ -84,21 +84,21 @@
   /// Returns how many gateways may be sending requests, this one included:
   /// all heard lately, since one that is cut off goes on, and many for a while
   /// after the start, when nobody has been heard yet.
-  int gateways(base::Instant now) const;
+  int gatewayCount(base::Instant now) const;
 
 private:
   struct Contact {
-    Peer Known;
+    Peer Gateway;
     bool HasAnswered = false;
-    base::Instant NextTry{};
+    base::Instant NextSendAt{};
     /// When it last did not answer a question: others are asked first.
     base::Instant FailedAt{};
     base::Instant AddedAt{};
   };
   void add(base::Instant now, const base::Endpoint &address);
   std::optional<Peer>
-  firstWith(base::Instant now,
-            const std::function<bool(const Peer &)> &isNewer) const;
+  leastRecentlyFailed(base::Instant now,
+                      const std::function<bool(const Peer &)> &isNewer) const;
 
   PeersOptions Options;
   base::Instant StartedAt;
--- a/include/drumlanding/gateway/placement.h
+++ b/include/drumlanding/gateway/placement.h
@@ -8,7 +8,7 @@
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/gateway/directory.h"
-#include "drumlanding/gateway/ledger.h"
+#include "drumlanding/gateway/run-table.h"
 
 #include <span>
 #include <string>
@@ -32,26 +32,27 @@
 
 class Placement {
 public:
-  Placement(const Directory &directory, const Ledger &ledger, std::string zone)
+  Placement(const Directory &directory, const RunTable &ledger,
+            std::string zone)
       : Servers(directory), Runs(ledger), Zone(std::move(zone)) {}
 
   /// Chooses an engine for a new generation by the delay that it would meet and
   /// cause there, and by the memory that it would find.
-  Choice forGeneration(base::Instant now, const Service &service,
-                       const Demand &demand,
-                       std::span<const std::string> tried) const;
+  Choice chooseForGeneration(base::Instant now, const Service &service,
+                             const Demand &demand,
+                             std::span<const std::string> tried) const;
 
   /// Chooses the engine that a running generation moves to from `source`: also
   /// by the way that its copy has, and by the copies that are on theirs.
-  Choice forMove(base::Instant now, const Service &service,
-                 const Demand &demand, const Server &source,
-                 std::span<const std::string> tried) const;
+  Choice chooseForMigration(base::Instant now, const Service &service,
+                            const Demand &demand, const Server &source,
+                            std::span<const std::string> tried) const;
 
   /// Chooses a plain server: the one with the fewest open requests of this
   /// gateway for its slots, and of equals one of the same zone.
-  const Server *forCall(base::Instant now, std::string_view service,
-                        std::span<const std::string> tried,
-                        base::Random &random) const;
+  const Server *chooseForRequest(base::Instant now, std::string_view service,
+                                 std::span<const std::string> tried,
+                                 base::Random &random) const;
 
 private:
   /// Returns the engine with the least cost of its own and of its way.
@@ -60,7 +61,7 @@
                 std::span<const std::string> tried, WayCost wayCost) const;
 
   const Directory &Servers;
-  const Ledger &Runs;
+  const RunTable &Runs;
   std::string Zone;
 };
 
--- a/include/drumlanding/gateway/dialect.h
+++ b/include/drumlanding/gateway/protocol-codec.h
@@ -30,43 +30,43 @@
   std::string Host;
   std::string Key;
   /// How long the caller will wait.
-  std::optional<base::milliseconds> Patience;
+  std::optional<base::milliseconds> Timeout;
   /// Generations: the prompt's tokens, the most and the expected output.
   std::uint32_t PromptTokens = 0;
-  std::uint32_t MostTokens = 0;
+  std::uint32_t MaxTokens = 0;
   std::uint32_t ExpectedTokens = 0;
 };
 
 /// A copy of a running generation's memory, and where the stream goes on.
-struct Continuation {
+struct ResumePoint {
   /// The server that made the copy, or holds it, and the copy's name there.
-  base::Endpoint At;
+  base::Endpoint Address;
   std::string Handle;
   std::int64_t LastEventId = 0;
 };
 
 /// What the gateway tells a server beside the caller's request.
-struct ServerOrder {
+struct RequestMetadata {
   /// The server's id; another server at its address must not run the request.
   std::string ServerId;
-  std::optional<base::milliseconds> TimeLeft;
+  std::optional<base::milliseconds> TimeRemaining;
   std::string Organisation;
   /// 0 is the most urgent, 9 the least.
   std::optional<int> Priority;
-  std::optional<Continuation> From;
+  std::optional<ResumePoint> ResumeFrom;
 };
 
 /// What a server's answer says.
-struct ServerAnswer {
+struct ServerResponse {
   int Status = 0;
   /// False when it answers another request.
-  bool IsOwn = false;
+  bool MatchesAttempt = false;
   /// The server vouches for it.
   bool IsStamped = false;
   /// The server says that the request did not run.
   bool HasNotRun = false;
   /// Another server answers at this address.
-  bool IsOtherServer = false;
+  bool IsWrongServer = false;
   /// The headers to pass on.
   std::vector<http::Header> Headers;
 };
@@ -76,7 +76,7 @@
   bool IsLeaving = false;
   std::optional<base::milliseconds> LeavesIn;
   /// When it started, as a Unix time; 0 when it does not say.
-  base::milliseconds BornAt{0};
+  base::milliseconds StartedAt{0};
   int Running = 0;
   int Waiting = 0;
   std::uint64_t UsedTokens = 0;
@@ -84,7 +84,7 @@
 };
 
 /// An order to copy a running generation's memory to another server.
-struct MoveOrder {
+struct CopyRequest {
   std::string AttemptId;
   base::Endpoint To;
   /// The run stops before this copy, which is the last.
@@ -92,7 +92,7 @@
 };
 
 /// What became of a MoveOrder.
-struct MoveAnswer {
+struct CopyResponse {
   enum class Outcome {
     Copied,
     NoSuchRun, ///< It has not begun to run, or is over.
@@ -100,28 +100,30 @@
     NoRoom,    ///< No room at the destination, or no way there.
     Failed,
   };
-  Outcome What = Outcome::Failed;
+  Outcome Code = Outcome::Failed;
   /// Names the copy; also given when a last copy failed, for the source.
   std::string Handle;
-  std::uint64_t EventsMade = 0;
+  std::uint64_t EventsGenerated = 0;
 };
 
-struct Dialect {
-  std::function<CallerRequest(http::Request)> ReadRequest;
-  std::function<http::Request(const CallerRequest &, const ServerOrder &)>
-      ToServer;
-  std::function<ServerAnswer(const CallerRequest &, const http::AnswerHead &)>
-      ReadAnswer;
+struct ProtocolCodec {
+  std::function<CallerRequest(http::Request)> DecodeRequest;
+  std::function<http::Request(const CallerRequest &, const RequestMetadata &)>
+      EncodeServerRequest;
+  std::function<ServerResponse(const CallerRequest &, const http::AnswerHead &)>
+      DecodeResponseHead;
   /// Puts the attempt's id on an answer of the gateway's own.
-  std::function<void(const CallerRequest &, http::Response &)> MarkAnswer;
-  std::function<http::Request(const MoveOrder &)> ToMove;
-  std::function<MoveAnswer(const base::Result<http::Response> &)> ReadMove;
-  std::function<http::Request(std::string_view handle)> ToFreeCopy;
-  std::function<http::Request()> ToReport;
-  std::function<base::Result<ServerReport>(const http::Response &)> ReadReport;
-  std::function<http::Request()> ToHealth;
+  std::function<void(const CallerRequest &, http::Response &)> AddAttemptId;
+  std::function<http::Request(const CopyRequest &)> EncodeCopyRequest;
+  std::function<CopyResponse(const base::Result<http::Response> &)>
+      DecodeCopyResponse;
+  std::function<http::Request(std::string_view handle)> EncodeReleaseCopy;
+  std::function<http::Request()> EncodeReportRequest;
+  std::function<base::Result<ServerReport>(const http::Response &)>
+      DecodeReport;
+  std::function<http::Request()> EncodeHealthRequest;
   /// Reads a server's id from its health answer; empty when it is not well.
-  std::function<std::string(const http::Response &)> ReadHealth;
+  std::function<std::string(const http::Response &)> DecodeHealth;
   /// The path at which a caller's balancer asks whether the gateway is ready.
   std::string ReadyPath;
 };
--- a/include/drumlanding/gateway/retry-budget.h
+++ b/include/drumlanding/gateway/retry-budget.h
@@ -17,9 +17,9 @@
 
 struct RetryBudgetOptions {
   /// Retries for each first send.
-  double Part = 0.2;
+  double RetryRatio = 0.2;
   /// Retries that all gateways together may add to that in a window.
-  double Extra = 0;
+  double ExtraRetries = 0;
   base::milliseconds Window{10'000};
 };
 
@@ -28,20 +28,20 @@
   explicit RetryBudget(RetryBudgetOptions options) : Options(options) {}
 
   void setOptions(const RetryBudgetOptions &options) { Options = options; }
-  void firstSend(base::Instant now, std::string_view service);
+  void recordFirstSend(base::Instant now, std::string_view service);
   /// Takes one retry; false when this gateway's part is used up. `gateways` is
   /// how many share the allowance, this one included.
   bool tryRetry(base::Instant now, std::string_view service, int gateways);
 
 private:
-  struct Use {
-    std::deque<base::Instant> First;
+  struct ServiceUsage {
+    std::deque<base::Instant> FirstSends;
     std::deque<base::Instant> Retries;
   };
-  void forget(base::Instant now, Use &use) const;
+  void dropExpired(base::Instant now, ServiceUsage &use) const;
 
   RetryBudgetOptions Options;
-  std::map<std::string, Use, std::less<>> Uses;
+  std::map<std::string, ServiceUsage, std::less<>> UsageByService;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/told-runs.h
+++ b/include/drumlanding/gateway/run-delta.h
@@ -6,7 +6,7 @@
 ///   if (!news.isEmpty()) send(news);
 #pragma once
 
-#include "drumlanding/gateway/ledger.h"
+#include "drumlanding/gateway/run-table.h"
 
 #include <span>
 #include <unordered_map>
@@ -15,21 +15,21 @@
 namespace drumlanding::gateway {
 
 /// Changes of runs since the last message.
-struct RunNews {
-  std::vector<LedgerRun> Changed;
+struct RunDelta {
+  std::vector<TrackedRun> Changed;
   std::vector<RunId> Ended;
 
   bool isEmpty() const { return Changed.empty() && Ended.empty(); }
 };
 
-class ToldRuns {
+class RunDeltaTracker {
 public:
   /// Returns what has changed since the last call, and takes it as told.
   /// Progress alone is no news: it is told with the whole.
-  RunNews newsOf(std::span<const LedgerRun> runs);
+  RunDelta nextDelta(std::span<const TrackedRun> runs);
 
 private:
-  std::unordered_map<RunId, LedgerRun> Told;
+  std::unordered_map<RunId, TrackedRun> LastSent;
 };
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/ledger.h
+++ b/include/drumlanding/gateway/run-table.h
@@ -24,19 +24,19 @@
 using RunId = std::uint64_t;
 
 /// A generation on an engine.
-struct LedgerRun {
+struct TrackedRun {
   RunId Id = 0;
   std::string Server;
   std::uint32_t PromptTokens = 0;
   /// The caller's estimate of its output, and the most it may make.
   std::uint32_t ExpectedTokens = 0;
-  std::uint32_t MostTokens = 0;
-  std::uint32_t MadeTokens = 0;
-  bool HasBegun = false;
+  std::uint32_t MaxTokens = 0;
+  std::uint32_t GeneratedTokens = 0;
+  bool HasFirstToken = false;
   /// The engine that a copy of its memory is on its way to, or at; empty when
   /// there is none.
   std::string CopyServer;
-  base::Instant Since{};
+  base::Instant StartedAt{};
 };
 
 /// What is known of an engine's work.
@@ -45,33 +45,33 @@
   /// Copies of other engines' runs, on their way or there.
   int IncomingCopies = 0;
   /// Prompt tokens that wait to be read.
-  std::uint64_t UnreadTokens = 0;
+  std::uint64_t PendingPromptTokens = 0;
   /// Memory in use, and forecast for the near future.
   std::uint64_t UsedTokens = 0;
   std::uint64_t ForecastTokens = 0;
 };
 
 /// Returns how many tokens a generation is expected to add yet.
-std::uint32_t expectedRemaining(const LedgerRun &run);
+std::uint32_t expectedRemainingTokens(const TrackedRun &run);
 
-class Ledger {
+class RunTable {
 public:
   /// Called when a run has come, changed its place, begun or ended.
   std::function<void()> OnChange;
 
   /// Notes a run of this gateway. A run that exists moves to the new server.
-  void begin(const LedgerRun &run);
-  void progress(RunId id, std::uint32_t madeTokens);
-  void end(RunId id);
+  void upsert(const TrackedRun &run);
+  void updateProgress(RunId id, std::uint32_t madeTokens);
+  void remove(RunId id);
 
   /// Replaces what another gateway has told of its runs.
-  void takePeer(base::Instant now, const std::string &peer,
-                std::vector<LedgerRun> runs);
+  void applyPeerSnapshot(base::Instant now, const std::string &peer,
+                         std::vector<TrackedRun> runs);
   /// Adds another gateway's news: runs that are new or have changed, and those
   /// that have ended.
-  void takePeerNews(base::Instant now, const std::string &peer,
-                    const std::vector<LedgerRun> &changed,
-                    const std::vector<RunId> &ended);
+  void applyPeerDelta(base::Instant now, const std::string &peer,
+                      const std::vector<TrackedRun> &changed,
+                      const std::vector<RunId> &ended);
   /// Forgets gateways that have not told anything for a while.
   void tick(base::Instant now);
 
@@ -79,24 +79,24 @@
   /// runs. Valid until the next change.
   std::unordered_map<std::string_view, EngineLoad> loads() const;
   /// All generations that run on a server, the other gateways' too.
-  std::vector<LedgerRun> runsOn(std::string_view server) const;
+  std::vector<TrackedRun> runsOn(std::string_view server) const;
   /// This gateway's runs, to be told to the others.
-  std::vector<LedgerRun> ownRuns() const;
+  std::vector<TrackedRun> ownRuns() const;
 
 private:
-  void changed() const {
+  void notifyChange() const {
     if (OnChange)
       OnChange();
   }
 
   struct Peer {
-    base::Instant HeardAt{};
-    std::vector<LedgerRun> Runs;
+    base::Instant LastSeenAt{};
+    std::vector<TrackedRun> Runs;
   };
 
-  template <typename Visit> void visit(Visit visit) const;
+  template <typename Visit> void forEachRun(Visit visit) const;
 
-  std::unordered_map<RunId, LedgerRun> Runs;
+  std::unordered_map<RunId, TrackedRun> OwnRuns;
   std::map<std::string, Peer> Peers;
 };
 
--- a/include/drumlanding/gateway/source.h
+++ b/include/drumlanding/gateway/store-reader.h
@@ -43,16 +43,17 @@
 /// Watches answer as soon as something has changed, or with nothing after
 /// `wait`. Their error is NotFound when that part of the history is gone: the
 /// whole must be read again.
-struct Source {
-  template <typename T> using Answer = boost::asio::awaitable<base::Result<T>>;
+struct StoreReader {
+  template <typename T>
+  using AsyncResult = boost::asio::awaitable<base::Result<T>>;
 
-  std::function<Answer<ConfigText>()> ReadConfig;
-  std::function<Answer<ConfigText>(std::uint64_t since,
-                                   base::milliseconds wait)>
+  std::function<AsyncResult<ConfigText>()> ReadConfig;
+  std::function<AsyncResult<ConfigText>(std::uint64_t since,
+                                        base::milliseconds wait)>
       WatchConfig;
-  std::function<Answer<ServerChanges>()> ReadServers;
-  std::function<Answer<ServerChanges>(std::uint64_t since,
-                                      base::milliseconds wait)>
+  std::function<AsyncResult<ServerChanges>()> ReadServers;
+  std::function<AsyncResult<ServerChanges>(std::uint64_t since,
+                                           base::milliseconds wait)>
       WatchServers;
   std::function<base::Result<Config>(std::string_view)> DecodeConfig;
 };
--- a/src/gateway/datagrams.cc
+++ b/src/gateway/datagram-socket.cc
@@ -1,4 +1,4 @@
-#include "drumlanding/gateway/datagrams.h"
+#include "drumlanding/gateway/datagram-socket.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -20,9 +20,9 @@
 
 } // namespace
 
-base::Result<std::unique_ptr<Datagrams>>
-Datagrams::open(asio::io_context &io, const base::Endpoint &at) {
-  std::unique_ptr<Datagrams> datagrams(new Datagrams(io));
+base::Result<std::unique_ptr<DatagramSocket>>
+DatagramSocket::open(asio::io_context &io, const base::Endpoint &at) {
+  std::unique_ptr<DatagramSocket> datagrams(new DatagramSocket(io));
   const udp::endpoint endpoint = toUdp(at);
   error_code ec;
   datagrams->Socket.open(endpoint.protocol(), ec);
@@ -34,17 +34,17 @@
   return datagrams;
 }
 
-void Datagrams::send(const base::Endpoint &to, std::string_view bytes) {
-  answer(toUdp(to), bytes);
+void DatagramSocket::send(const base::Endpoint &to, std::string_view bytes) {
+  reply(toUdp(to), bytes);
 }
 
-void Datagrams::answer(const Sender &to, std::string_view bytes) {
+void DatagramSocket::reply(const Sender &to, std::string_view bytes) {
   error_code ec;
   // A full link loses it: it is told again.
   Socket.send_to(asio::buffer(bytes), to, 0, ec);
 }
 
-asio::awaitable<void> Datagrams::receive(Handler handle) {
+asio::awaitable<void> DatagramSocket::receive(Handler handle) {
   std::vector<char> buf(LargestDatagram);
   for (;;) {
     Sender from;
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -47,9 +47,10 @@
 
 } // namespace
 
-int brokenAnswersOf(const Server &server, base::Instant now) {
-  return now < server.AvoidUntil + BrokenAnswersExpiry ? server.BrokenAnswers
-                                                       : 0;
+int recentIncompleteResponses(const Server &server, base::Instant now) {
+  return now < server.EjectedUntil + BrokenAnswersExpiry
+             ? server.IncompleteResponses
+             : 0;
 }
 
 std::string_view toString(Evidence evidence) {
@@ -70,37 +71,38 @@
   return "requests";
 }
 
-void Directory::changed(std::string_view event, Evidence evidence,
-                        const Server &server) const {
+void Directory::reportChange(std::string_view event, Evidence evidence,
+                             const Server &server) const {
   if (OnChange)
     OnChange(event, evidence, server);
 }
 
-void Directory::leave(base::Instant now, Server &server, Evidence evidence) {
-  server.IsLeavingByAbsence = false;
+void Directory::setLeaving(base::Instant now, Server &server,
+                           Evidence evidence) {
+  server.IsPresumedLeaving = false;
   if (server.IsLeaving)
     return;
   server.IsLeaving = true;
   server.LeavingSince = now;
-  changed("server-leaving", evidence, server);
+  reportChange("server-leaving", evidence, server);
   if (OnLeaving)
     OnLeaving(server);
 }
 
-void Directory::leaveByAbsence(base::Instant now, Server &server,
+void Directory::presumeLeaving(base::Instant now, Server &server,
                                Evidence evidence) {
   if (server.IsLeaving)
     return;
-  leave(now, server, evidence);
-  server.IsLeavingByAbsence = true;
+  setLeaving(now, server, evidence);
+  server.IsPresumedLeaving = true;
 }
 
 void Directory::markAbsent(Server &server, Evidence evidence) {
   if (server.IsMissing)
     return;
-  IsDigestKnown = false;
+  IsDigestCurrent = false;
   server.IsMissing = true;
-  changed("server-missing", evidence, server);
+  reportChange("server-missing", evidence, server);
 }
 
 void Directory::put(base::Instant now, const ListedServer &listed,
@@ -109,38 +111,38 @@
   if (it != Servers.end() && isOlder(listed.Revision, it->second))
     return;
   if (!isListedAs(listed))
-    IsDigestKnown = false;
+    IsDigestCurrent = false;
   if (it == Servers.end()) {
     const auto added = Servers.emplace(listed.Id, Server{listed}).first;
     added->second.IsListed = true;
-    added->second.ColdUntil = now + listed.ColdLeft;
+    added->second.ColdUntil = now + listed.ColdRemaining;
     added->second.Revision = listed.Revision;
-    changed("server-listed", evidence, added->second);
+    reportChange("server-listed", evidence, added->second);
     if (OnUnverified)
       OnUnverified(added->second);
     if (listed.State == ServerState::Leaving)
-      leave(now, added->second, evidence);
+      setLeaving(now, added->second, evidence);
     return;
   }
   Server &server = it->second;
-  if (isEarlierLife(listed.BornAt, server.Listed.BornAt))
+  if (isEarlierLife(listed.StartedAt, server.Listed.StartedAt))
     return;
-  if (isEarlierLife(server.Listed.BornAt, listed.BornAt))
-    restart(server, listed.BornAt, evidence);
+  if (isEarlierLife(server.Listed.StartedAt, listed.StartedAt))
+    restart(server, listed.StartedAt, evidence);
   if (server.IsMissing)
-    changed("server-listed-again", evidence, server);
+    reportChange("server-listed-again", evidence, server);
   server.IsMissing = false;
   server.IsListed = true;
-  if (server.IsLeavingByAbsence && listed.State == ServerState::Ready) {
+  if (server.IsPresumedLeaving && listed.State == ServerState::Ready) {
     server.IsLeaving = false;
-    server.IsLeavingByAbsence = false;
-    changed("server-back", evidence, server);
+    server.IsPresumedLeaving = false;
+    reportChange("server-back", evidence, server);
   }
   server.Listed = listed;
   server.Revision = listed.Revision;
-  server.ColdUntil = now + listed.ColdLeft;
+  server.ColdUntil = now + listed.ColdRemaining;
   if (listed.State == ServerState::Leaving)
-    leave(now, server, evidence);
+    setLeaving(now, server, evidence);
 }
 
 /// Forgets what was known of the server's life before; requests that are open
@@ -148,52 +150,52 @@
 void Directory::restart(Server &server, base::milliseconds bornAt,
                         Evidence evidence) {
   Server fresh{server.Listed};
-  fresh.Listed.BornAt = bornAt;
+  fresh.Listed.StartedAt = bornAt;
   fresh.Listed.State = ServerState::Ready;
   fresh.Revision = server.Revision;
   fresh.IsListed = server.IsListed;
   fresh.IsMissing = server.IsMissing;
-  fresh.Open = server.Open;
+  fresh.OpenRequests = server.OpenRequests;
   server = std::move(fresh);
-  IsDigestKnown = false;
-  changed("server-restarted", evidence, server);
+  IsDigestCurrent = false;
+  reportChange("server-restarted", evidence, server);
   if (OnUnverified)
     OnUnverified(server);
 }
 
-bool Directory::mayHaveLapsed(base::Instant now) const {
-  return now < GraceUntil || now - StoreContactAt >= LapseTime;
+bool Directory::mayHaveExpired(base::Instant now) const {
+  return now < GraceUntil || now - StoreContactAt >= ExpiryTime;
 }
 
-void Directory::remove(base::Instant now, const GoneServer &gone,
+void Directory::remove(base::Instant now, const RemovedServer &gone,
                        Evidence evidence) {
   const auto it = Servers.find(gone.Id);
   if (it == Servers.end() || isOlder(gone.Revision, it->second))
     return;
   it->second.Revision = gone.Revision;
   markAbsent(it->second, evidence);
-  if (!mayHaveLapsed(now))
-    leaveByAbsence(now, it->second, evidence);
+  if (!mayHaveExpired(now))
+    presumeLeaving(now, it->second, evidence);
 }
 
-void Directory::replaceAll(base::Instant now, const ServerList &list,
-                           Evidence evidence) {
+void Directory::applySnapshot(base::Instant now, const ServerList &list,
+                              Evidence evidence) {
   std::set<std::string_view> ids;
   for (const ListedServer &listed : list.Servers) {
     ids.insert(listed.Id);
     put(now, listed, evidence);
   }
-  for (const GoneServer &gone : list.Gone) {
+  for (const RemovedServer &gone : list.Removed) {
     ids.insert(gone.Id);
     remove(now, gone, evidence);
   }
-  std::vector<GoneServer> absent;
+  std::vector<RemovedServer> absent;
   // One that was only met is not yet expected in the list.
   for (const auto &[id, server] : Servers)
     if (server.IsListed && !ids.contains(id) &&
         server.Revision <= list.Revision)
       absent.push_back({id, list.Revision});
-  for (const GoneServer &gone : absent)
+  for (const RemovedServer &gone : absent)
     remove(now, gone, evidence);
 }
 
@@ -206,17 +208,17 @@
   const Server *known = find(listed.Id);
   return isListed(listed.Id) && known->Listed.State == listed.State &&
          known->Listed.Address == listed.Address &&
-         known->Listed.BornAt == listed.BornAt;
+         known->Listed.StartedAt == listed.StartedAt;
 }
 
-void Directory::markLeaving(base::Instant now, const ServerLife &life) {
+void Directory::markLeaving(base::Instant now, const ServerInstance &life) {
   const auto it = Servers.find(life.Id);
   if (it == Servers.end() ||
-      isEarlierLife(life.BornAt, it->second.Listed.BornAt))
+      isEarlierLife(life.StartedAt, it->second.Listed.StartedAt))
     return;
-  if (isEarlierLife(it->second.Listed.BornAt, life.BornAt))
-    restart(it->second, life.BornAt, Evidence::Gateway);
-  leave(now, it->second, Evidence::Gateway);
+  if (isEarlierLife(it->second.Listed.StartedAt, life.StartedAt))
+    restart(it->second, life.StartedAt, Evidence::Gateway);
+  setLeaving(now, it->second, Evidence::Gateway);
 }
 
 /// Only one server can have an address: whoever else is listed there has ended.
@@ -226,34 +228,34 @@
         server.IsReplaced)
       continue;
     server.IsReplaced = true;
-    leave(now, server, Evidence::Address);
+    setLeaving(now, server, Evidence::Address);
   }
 }
 
 void Directory::applyNotice(base::Instant now, const ServerNotice &notice) {
-  if (notice.Seen.Id.empty())
+  if (notice.Entry.Id.empty())
     return;
-  auto it = Servers.find(notice.Seen.Id);
+  auto it = Servers.find(notice.Entry.Id);
   if (it == Servers.end() && notice.IsLeaving)
     return;
   if (it == Servers.end()) {
     // The list does not hold it yet.
-    it = Servers.emplace(notice.Seen.Id, Server{notice.Seen}).first;
-    changed("server-met", Evidence::Notice, it->second);
+    it = Servers.emplace(notice.Entry.Id, Server{notice.Entry}).first;
+    reportChange("server-met", Evidence::Notice, it->second);
   }
   Server &server = it->second;
-  if (isEarlierLife(notice.Seen.BornAt, server.Listed.BornAt))
+  if (isEarlierLife(notice.Entry.StartedAt, server.Listed.StartedAt))
     return;
-  if (isEarlierLife(server.Listed.BornAt, notice.Seen.BornAt))
-    restart(server, notice.Seen.BornAt, Evidence::Notice);
-  replaceOthersAt(now, notice.Seen);
+  if (isEarlierLife(server.Listed.StartedAt, notice.Entry.StartedAt))
+    restart(server, notice.Entry.StartedAt, Evidence::Notice);
+  replaceOthersAt(now, notice.Entry);
   if (!notice.IsLeaving)
     return;
   const bool isTimed = notice.LeavesIn.count() > 0;
-  if (isTimed && server.GoneAt == base::Instant{})
-    server.GoneAt = now + notice.LeavesIn;
+  if (isTimed && server.ShutdownAt == base::Instant{})
+    server.ShutdownAt = now + notice.LeavesIn;
   server.IsPlannedLeave = !isTimed;
-  leave(now, server, Evidence::Notice);
+  setLeaving(now, server, Evidence::Notice);
 }
 
 void Directory::markReplaced(base::Instant now, std::string_view id) {
@@ -261,106 +263,108 @@
   if (it == Servers.end())
     return;
   it->second.IsReplaced = true;
-  leave(now, it->second, Evidence::Address);
+  setLeaving(now, it->second, Evidence::Address);
   if (OnUnverified)
     OnUnverified(it->second);
 }
 
-void Directory::noteStoreContact(base::Instant at, base::Instant since) {
+void Directory::recordStoreContact(base::Instant at, base::Instant since) {
   // The reader heard the store all through what looked like an outage here.
-  if (GraceUntil != base::Instant{} && since <= OutageFrom) {
+  if (GraceUntil != base::Instant{} && since <= OutageStart) {
     GraceUntil = {};
-    SteadySince = std::min(SteadySince, since);
+    StoreStableSince = std::min(StoreStableSince, since);
   }
   if (at <= StoreContactAt)
     return;
   const base::Instant before = std::exchange(StoreContactAt, at);
-  if (at - before < LapseTime || since <= before)
+  if (at - before < ExpiryTime || since <= before)
     return;
-  SteadySince = since;
-  OutageFrom = before;
+  StoreStableSince = since;
+  OutageStart = before;
   // Without known servers there is nothing that could have lapsed.
   if (Servers.empty())
     return;
-  GraceUntil = since + GraceAfterReturn;
-  if (before != base::Instant{} && OnOutageOver)
-    OnOutageOver(since - before);
+  GraceUntil = since + OutageGrace;
+  if (before != base::Instant{} && OnOutageEnd)
+    OnOutageEnd(since - before);
 }
 
 void Directory::tick(base::Instant now) {
   for (auto it = Servers.begin(); it != Servers.end();) {
     Server &server = it->second;
-    if (server.IsMissing && !mayHaveLapsed(now))
-      leaveByAbsence(now, server, Evidence::Absence);
+    if (server.IsMissing && !mayHaveExpired(now))
+      presumeLeaving(now, server, Evidence::Absence);
     const bool isOver = server.IsLeaving && server.IsMissing &&
-                        server.Open == 0 &&
-                        now - server.LeavingSince > ForgetAfter;
+                        server.OpenRequests == 0 &&
+                        now - server.LeavingSince > RemovedServerRetention;
     it = isOver ? Servers.erase(it) : std::next(it);
   }
 }
 
-void Directory::note(base::Instant now, std::string_view id,
-                     ServerOutcome outcome) {
+void Directory::recordOutcome(base::Instant now, std::string_view id,
+                              ServerOutcome outcome) {
   const auto it = Servers.find(id);
   if (it == Servers.end())
     return;
   Server &server = it->second;
-  if (outcome == ServerOutcome::Broken) {
-    server.BrokenAnswers = brokenAnswersOf(server, now) + 1;
-    server.AvoidUntil = now + avoidTime(server.BrokenAnswers);
-    changed("server-avoided", Evidence::Requests, server);
+  if (outcome == ServerOutcome::Incomplete) {
+    server.IncompleteResponses = recentIncompleteResponses(server, now) + 1;
+    server.EjectedUntil = now + avoidTime(server.IncompleteResponses);
+    reportChange("server-avoided", Evidence::Requests, server);
     return;
   }
   if (outcome == ServerOutcome::Served)
-    server.BrokenAnswers = 0;
+    server.IncompleteResponses = 0;
   if (outcome == ServerOutcome::Unreachable) {
-    server.AvoidUntil = now + UnreachableTime;
-    changed("server-unreachable", Evidence::Requests, server);
+    server.EjectedUntil = now + UnreachableTime;
+    reportChange("server-unreachable", Evidence::Requests, server);
     return;
   }
   const double failed = outcome == ServerOutcome::Served ? 0 : 1;
-  server.FailurePart += OutcomeWeight * (failed - server.FailurePart);
-  if (server.FailurePart < MostFailures)
+  server.FailureRate += OutcomeWeight * (failed - server.FailureRate);
+  if (server.FailureRate < MostFailures)
     return;
-  server.AvoidUntil = now + AvoidTime;
+  server.EjectedUntil = now + AvoidTime;
   // The next outcomes decide whether it is avoided again.
-  server.FailurePart = MostFailures - OutcomeWeight;
-  changed("server-avoided", Evidence::Requests, server);
+  server.FailureRate = MostFailures - OutcomeWeight;
+  reportChange("server-avoided", Evidence::Requests, server);
 }
 
-void Directory::applyAvoided(base::Instant now, const AvoidedServer &avoided) {
+void Directory::applyEjection(base::Instant now, const EjectedServer &avoided) {
   const auto it = Servers.find(avoided.Id);
   if (it == Servers.end() ||
-      avoided.BrokenAnswers <= brokenAnswersOf(it->second, now) ||
-      isEarlierLife(avoided.BornAt, it->second.Listed.BornAt))
+      avoided.IncompleteResponses <=
+          recentIncompleteResponses(it->second, now) ||
+      isEarlierLife(avoided.StartedAt, it->second.Listed.StartedAt))
     return;
-  it->second.BrokenAnswers = avoided.BrokenAnswers;
-  it->second.AvoidUntil = std::max(it->second.AvoidUntil,
-                                   now + std::min(avoided.Left, MostAvoidTime));
-  changed("server-avoided", Evidence::Gateway, it->second);
+  it->second.IncompleteResponses = avoided.IncompleteResponses;
+  it->second.EjectedUntil =
+      std::max(it->second.EjectedUntil,
+               now + std::min(avoided.Remaining, MostAvoidTime));
+  reportChange("server-avoided", Evidence::Gateway, it->second);
 }
 
-std::vector<AvoidedServer> Directory::avoided(base::Instant now) const {
-  std::vector<AvoidedServer> avoided;
+std::vector<EjectedServer> Directory::ejected(base::Instant now) const {
+  std::vector<EjectedServer> avoided;
   for (const auto &[id, server] : Servers)
-    if (server.BrokenAnswers > 0 && server.AvoidUntil > now)
+    if (server.IncompleteResponses > 0 && server.EjectedUntil > now)
       avoided.push_back(
-          {id, server.BrokenAnswers,
-           base::milliseconds(base::toMs(server.AvoidUntil - now)),
-           server.Listed.BornAt});
+          {id, server.IncompleteResponses,
+           base::milliseconds(base::toMs(server.EjectedUntil - now)),
+           server.Listed.StartedAt});
   return avoided;
 }
 
-void Directory::opened(std::string_view id) {
+void Directory::requestStarted(std::string_view id) {
   const auto it = Servers.find(id);
   if (it != Servers.end())
-    ++it->second.Open;
+    ++it->second.OpenRequests;
 }
 
-void Directory::closed(std::string_view id) {
+void Directory::requestEnded(std::string_view id) {
   const auto it = Servers.find(id);
-  if (it != Servers.end() && it->second.Open > 0)
-    --it->second.Open;
+  if (it != Servers.end() && it->second.OpenRequests > 0)
+    --it->second.OpenRequests;
 }
 
 const Server *Directory::find(std::string_view id) const {
@@ -382,7 +386,7 @@
   for (const auto &[id, server] : Servers) {
     if (server.IsLeaving || server.Listed.Service != service)
       continue;
-    (now < server.AvoidUntil ? avoided : well).push_back(&server);
+    (now < server.EjectedUntil ? avoided : well).push_back(&server);
   }
   return well.empty() ? avoided : well;
 }
@@ -391,24 +395,24 @@
   ServerList list;
   for (const auto &[id, server] : Servers) {
     if (server.IsMissing)
-      list.Gone.push_back({id, server.Revision});
+      list.Removed.push_back({id, server.Revision});
     else if (server.IsListed)
       list.Servers.push_back(server.Listed);
   }
   return list;
 }
 
-std::vector<ServerLife> Directory::leaving(base::Instant now) const {
-  std::vector<ServerLife> lives;
+std::vector<ServerInstance> Directory::leaving(base::Instant now) const {
+  std::vector<ServerInstance> lives;
   for (const auto &[id, server] : Servers)
-    if (server.IsLeaving && !server.IsLeavingByAbsence && !server.IsMissing &&
+    if (server.IsLeaving && !server.IsPresumedLeaving && !server.IsMissing &&
         now - server.LeavingSince < TellLeaving)
-      lives.push_back({id, server.Listed.BornAt});
+      lives.push_back({id, server.Listed.StartedAt});
   return lives;
 }
 
 std::uint64_t Directory::digest() const {
-  if (IsDigestKnown)
+  if (IsDigestCurrent)
     return Digest;
   Digest = 0;
   for (const auto &[id, server] : Servers) {
@@ -417,9 +421,9 @@
     const bool isReady = server.Listed.State == ServerState::Ready;
     Digest = base::mix64(Digest, base::hash64(id, isReady ? 1 : 2));
     Digest = base::mix64(
-        Digest, static_cast<std::uint64_t>(server.Listed.BornAt.count()));
+        Digest, static_cast<std::uint64_t>(server.Listed.StartedAt.count()));
   }
-  IsDigestKnown = true;
+  IsDigestCurrent = true;
   return Digest;
 }
 
--- a/src/gateway/event-log.cc
+++ b/src/gateway/event-log.cc
@@ -61,17 +61,17 @@
   addField(line, {"event", event});
   for (const LogField &field : fields)
     addField(line, field);
-  if (DroppedSinceLine > 0)
-    addField(line, {"lines_dropped_before", DroppedSinceLine});
+  if (DroppedSinceLastLine > 0)
+    addField(line, {"lines_dropped_before", DroppedSinceLastLine});
   line += "}\n";
   if (line.size() > MostLineBytes || !canWrite(Descriptor) ||
       ::write(Descriptor, line.data(), line.size()) !=
           static_cast<ssize_t>(line.size())) {
     ++Dropped;
-    ++DroppedSinceLine;
+    ++DroppedSinceLastLine;
     return;
   }
-  DroppedSinceLine = 0;
+  DroppedSinceLastLine = 0;
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/event-splitter.cc
+++ b/src/gateway/event-splitter.cc
@@ -52,14 +52,14 @@
   if (LastId && *id <= *LastId)
     return false;
   LastId = *id;
-  ++Events;
+  ++EventCount;
   return true;
 }
 
 std::string EventSplitter::feed(std::string_view bytes) {
-  Rest += bytes;
+  Pending += bytes;
   std::string whole;
-  std::string_view left = Rest;
+  std::string_view left = Pending;
   for (;;) {
     const std::size_t end = findEnd(left);
     if (end == std::string_view::npos)
@@ -69,7 +69,7 @@
       whole += event;
     left.remove_prefix(end);
   }
-  Rest = std::string(left);
+  Pending = std::string(left);
   return whole;
 }
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -21,8 +21,7 @@
 base::Duration expectedTime(const Forwarding &f) {
   if (f.TheRoute->Kind != RequestKind::Stream)
     return base::Duration(0);
-  const double tokens =
-      std::min(f.Request.ExpectedTokens, f.Request.MostTokens);
+  const double tokens = std::min(f.Request.ExpectedTokens, f.Request.MaxTokens);
   return std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double, std::milli>(tokens * MsPerToken));
 }
@@ -31,12 +30,12 @@
 
 asio::awaitable<void> Forwarder::serve(http::Request http, http::Exchange &x) {
   auto f =
-      std::make_shared<Forwarding>(W, W.Words.ReadRequest(std::move(http)));
+      std::make_shared<Forwarding>(W, W.Words.DecodeRequest(std::move(http)));
   f->ReceivedAt = W.now();
   if (W.IsLeaving)
     x.closeAfter();
   if (auto answer = admit(*f)) {
-    W.Words.MarkAnswer(f->Request, *answer);
+    W.Words.AddAttemptId(f->Request, *answer);
     logEnd(*f, answer->Status, "not admitted");
     co_await x.send(std::move(*answer));
     co_return;
@@ -51,7 +50,7 @@
     forwarding->HasCallerLeft = true;
     forwarding->stop();
   });
-  W.Budget.firstSend(f->ReceivedAt, f->TheService->Name);
+  W.Budget.recordFirstSend(f->ReceivedAt, f->TheService->Name);
   if (f->TheRoute->Kind == RequestKind::Stream)
     co_await forwardStream(*f, x, Moves);
   else
@@ -78,7 +77,7 @@
   if (!f.TheService)
     return refusal(f, Verdict::NotRun, Reason::UnknownService);
   const base::milliseconds patience = std::min(
-      f.Request.Patience.value_or(f.TheRoute->Timeout), f.TheRoute->Timeout);
+      f.Request.Timeout.value_or(f.TheRoute->Timeout), f.TheRoute->Timeout);
   f.Deadline = f.ReceivedAt + patience;
   // The stop would cut it: another gateway can carry it to its end.
   if (W.IsLeaving && f.ReceivedAt + expectedTime(f) > W.stopAt())
@@ -87,7 +86,8 @@
 }
 
 const Server *Forwarder::nextServer(Forwarding &f) {
-  return W.Placing.forCall(W.now(), f.TheService->Name, f.Tried, W.Random);
+  return W.Placing.chooseForRequest(W.now(), f.TheService->Name, f.Tried,
+                                    W.Random);
 }
 
 asio::awaitable<Attempt> Forwarder::tryCall(Forwarding &f, Server server) {
@@ -102,7 +102,7 @@
     co_return attempt;
   }
   ++f.Sends;
-  attempt.End = AttemptEnd::Broken;
+  attempt.End = AttemptOutcome::Incomplete;
   attempt.Why = "no whole answer";
   sendTo(f, server, std::nullopt);
   auto head = co_await readOwnHead(f);
@@ -127,9 +127,9 @@
     }
     const Server server = *next;
     const std::string id = server.Listed.Id;
-    W.Servers.opened(id);
+    W.Servers.requestStarted(id);
     Attempt attempt = co_await tryCall(f, server);
-    W.Servers.closed(id);
+    W.Servers.requestEnded(id);
     f.stop();
     f.Tried.push_back(id);
     noteOutcome(f, id, attempt);
@@ -139,7 +139,8 @@
                                   {"why", attempt.Why}});
     next = nextServer(f);
     const Step step = stepAfter(f, attempt, next != nullptr);
-    if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
+    if (attempt.End == AttemptOutcome::Incomplete ||
+        attempt.End == AttemptOutcome::Failed)
       f.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
--- a/src/gateway/forwarding.cc
+++ b/src/gateway/forwarding.cc
@@ -73,26 +73,27 @@
 }
 
 void sendTo(Forwarding &f, const Server &server,
-            const std::optional<Continuation> &from) {
-  ServerOrder order;
+            const std::optional<ResumePoint> &from) {
+  RequestMetadata order;
   order.ServerId = server.Listed.Id;
-  order.TimeLeft = std::max(f.timeLeft(), milliseconds(1));
+  order.TimeRemaining = std::max(f.timeLeft(), milliseconds(1));
   if (f.Holder)
     order.Organisation = f.Holder->Name;
   if (f.TheService->Engine)
     order.Priority = f.priority();
-  order.From = from;
+  order.ResumeFrom = from;
   ++f.Arrivals;
-  f.Connection->send(f.W.Words.ToServer(f.Request, order));
+  f.Connection->send(f.W.Words.EncodeServerRequest(f.Request, order));
 }
 
-asio::awaitable<std::optional<ServerAnswer>> readOwnHead(Forwarding &f) {
+asio::awaitable<std::optional<ServerResponse>> readOwnHead(Forwarding &f) {
   for (int i = 0; i < MostForeignAnswers; ++i) {
     auto head = co_await f.Connection->readHead();
     if (!ok(head))
       co_return std::nullopt;
-    ServerAnswer answer = f.W.Words.ReadAnswer(f.Request, value(head));
-    if (answer.IsOwn || answer.HasNotRun)
+    ServerResponse answer =
+        f.W.Words.DecodeResponseHead(f.Request, value(head));
+    if (answer.MatchesAttempt || answer.HasNotRun)
       co_return answer;
     f.W.Log.write("foreign-answer", {{"request", f.Request.AttemptId}});
     const auto skipped = co_await readBody(f);
@@ -114,24 +115,24 @@
   }
 }
 
-AttemptEnd endOf(const ServerAnswer &answer) {
+AttemptOutcome endOf(const ServerResponse &answer) {
   constexpr int FirstFailure = 500;
-  if (answer.IsOtherServer)
-    return AttemptEnd::OtherServer;
+  if (answer.IsWrongServer)
+    return AttemptOutcome::WrongServer;
   if (answer.HasNotRun)
-    return AttemptEnd::NotRun;
+    return AttemptOutcome::NotRun;
   // Without its stamp it is not the server's answer.
   if (!answer.IsStamped)
-    return AttemptEnd::Broken;
-  return answer.Status >= FirstFailure ? AttemptEnd::Failed
-                                       : AttemptEnd::Served;
+    return AttemptOutcome::Incomplete;
+  return answer.Status >= FirstFailure ? AttemptOutcome::Failed
+                                       : AttemptOutcome::Served;
 }
 
 Step stepAfter(Forwarding &f, const Attempt &attempt, bool hasServer) {
-  if (attempt.End == AttemptEnd::OtherServer)
+  if (attempt.End == AttemptOutcome::WrongServer)
     --f.Sends;
   AttemptState state;
-  state.End = attempt.End;
+  state.Outcome = attempt.End;
   state.Kind = f.TheRoute->Kind;
   state.Sends = f.Sends;
   state.Arrivals = f.Arrivals;
@@ -141,8 +142,8 @@
   state.HasServer = hasServer;
   return nextStep(state, [&] {
     const base::Instant now = f.W.now();
-    const bool isGranted =
-        f.W.Budget.tryRetry(now, f.TheService->Name, f.W.Others.gateways(now));
+    const bool isGranted = f.W.Budget.tryRetry(now, f.TheService->Name,
+                                               f.W.Others.gatewayCount(now));
     countRetry(f.W.Metrics, f.TheService->Name, isGranted);
     return isGranted;
   });
@@ -167,7 +168,7 @@
                      std::chrono::duration<double>(retryAfter(why)).count())});
   response.Headers.push_back(
       {"Drumlanding-Verdict", std::string(toString(verdict))});
-  f.W.Words.MarkAnswer(f.Request, response);
+  f.W.Words.AddAttemptId(f.Request, response);
   return response;
 }
 
@@ -185,25 +186,25 @@
     return;
   ServerOutcome outcome = ServerOutcome::Served;
   switch (attempt.End) {
-  case AttemptEnd::Served:
+  case AttemptOutcome::Served:
     break;
-  case AttemptEnd::Failed:
+  case AttemptOutcome::Failed:
     outcome = ServerOutcome::Failed;
     break;
-  case AttemptEnd::Broken:
-    outcome = ServerOutcome::Broken;
+  case AttemptOutcome::Incomplete:
+    outcome = ServerOutcome::Incomplete;
     break;
-  case AttemptEnd::NotRun:
+  case AttemptOutcome::NotRun:
     outcome = ServerOutcome::Refused;
     break;
-  case AttemptEnd::Unreachable:
+  case AttemptOutcome::Unreachable:
     outcome = ServerOutcome::Unreachable;
     break;
-  case AttemptEnd::OtherServer:
+  case AttemptOutcome::WrongServer:
     f.W.Servers.markReplaced(f.W.now(), server);
     return;
   }
-  f.W.Servers.note(f.W.now(), server, outcome);
+  f.W.Servers.recordOutcome(f.W.now(), server, outcome);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/forwarding.h
+++ b/src/gateway/forwarding.h
@@ -60,13 +60,13 @@
 
 /// A whole answer of a server.
 struct WholeAnswer {
-  ServerAnswer Head;
+  ServerResponse Head;
   std::string Body;
 };
 
 /// One attempt at a server.
 struct Attempt {
-  AttemptEnd End = AttemptEnd::Unreachable;
+  AttemptOutcome End = AttemptOutcome::Unreachable;
   /// For the log.
   std::string Why;
   std::optional<WholeAnswer> Answer;
@@ -79,16 +79,16 @@
 
 /// Sends the request; from here on it may run.
 void sendTo(Forwarding &f, const Server &server,
-            const std::optional<Continuation> &from);
+            const std::optional<ResumePoint> &from);
 
 /// Reads heads until one answers this request; none when the connection broke.
-asio::awaitable<std::optional<ServerAnswer>> readOwnHead(Forwarding &f);
+asio::awaitable<std::optional<ServerResponse>> readOwnHead(Forwarding &f);
 
 /// Reads a body to its end; none when it broke off.
 asio::awaitable<std::optional<std::string>> readBody(Forwarding &f);
 
 /// Says how a whole answer ends its attempt.
-AttemptEnd endOf(const ServerAnswer &answer);
+AttemptOutcome endOf(const ServerResponse &answer);
 
 /// Asks the policy what follows an attempt.
 Step stepAfter(Forwarding &f, const Attempt &attempt, bool hasServer);
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -67,7 +67,7 @@
   for (const Server *server : world.Servers.all()) {
     if (server->IsLeaving)
       ++leaving;
-    else if (now < server->AvoidUntil)
+    else if (now < server->EjectedUntil)
       ++avoided;
     else
       ++ready;
--- a/src/gateway/gossip-messages.cc
+++ b/src/gateway/gossip-messages.cc
@@ -4,28 +4,28 @@
 
 using base::milliseconds;
 
-wire::Run toWire(const LedgerRun &run) {
+wire::Run toWire(const TrackedRun &run) {
   wire::Run out;
   out.set_id(run.Id);
   out.set_server(run.Server);
   out.set_prompt_tokens(run.PromptTokens);
   out.set_expected_tokens(run.ExpectedTokens);
-  out.set_most_tokens(run.MostTokens);
-  out.set_made_tokens(run.MadeTokens);
-  out.set_has_begun(run.HasBegun);
+  out.set_most_tokens(run.MaxTokens);
+  out.set_made_tokens(run.GeneratedTokens);
+  out.set_has_begun(run.HasFirstToken);
   out.set_copy_server(run.CopyServer);
   return out;
 }
 
-LedgerRun fromWire(const wire::Run &run) {
-  LedgerRun out;
+TrackedRun fromWire(const wire::Run &run) {
+  TrackedRun out;
   out.Id = run.id();
   out.Server = run.server();
   out.PromptTokens = run.prompt_tokens();
   out.ExpectedTokens = run.expected_tokens();
-  out.MostTokens = run.most_tokens();
-  out.MadeTokens = run.made_tokens();
-  out.HasBegun = run.has_begun();
+  out.MaxTokens = run.most_tokens();
+  out.GeneratedTokens = run.made_tokens();
+  out.HasFirstToken = run.has_begun();
   out.CopyServer = run.copy_server();
   return out;
 }
@@ -38,13 +38,14 @@
   out.set_zone(server.Zone);
   out.set_slots(static_cast<std::uint32_t>(server.Slots));
   out.set_is_leaving(server.State == ServerState::Leaving);
-  out.set_cold_left_ms(static_cast<std::uint32_t>(server.ColdLeft.count()));
+  out.set_cold_left_ms(
+      static_cast<std::uint32_t>(server.ColdRemaining.count()));
   out.set_revision(server.Revision);
-  out.set_born_ms(static_cast<std::uint64_t>(server.BornAt.count()));
+  out.set_born_ms(static_cast<std::uint64_t>(server.StartedAt.count()));
   return out;
 }
 
-wire::GoneServer toWire(const GoneServer &gone) {
+wire::GoneServer toWire(const RemovedServer &gone) {
   wire::GoneServer out;
   out.set_id(gone.Id);
   out.set_revision(gone.Revision);
@@ -57,19 +58,19 @@
   out.set_revision(list.Revision);
   for (const ListedServer &server : list.Servers)
     *out.add_servers() = toWire(server);
-  for (const GoneServer &gone : list.Gone)
+  for (const RemovedServer &gone : list.Removed)
     *out.add_gone() = toWire(gone);
   return out;
 }
 
-GoneServer fromWire(const wire::GoneServer &gone) {
+RemovedServer fromWire(const wire::GoneServer &gone) {
   return {gone.id(), gone.revision()};
 }
 
 ServerList fromWire(const wire::ServerList &list) {
   ServerList out{list.revision(), fromWire(list.servers()), {}};
   for (const wire::GoneServer &gone : list.gone())
-    out.Gone.push_back(fromWire(gone));
+    out.Removed.push_back(fromWire(gone));
   return out;
 }
 
@@ -93,11 +94,11 @@
   const auto address = base::parseEndpoint("engine", notice.address());
   if (!ok(address))
     return out;
-  out.Seen.Id = notice.server();
-  out.Seen.BornAt = milliseconds(notice.born_ms());
-  out.Seen.Service = notice.service();
-  out.Seen.Address = value(address);
-  out.Seen.Zone = notice.zone();
+  out.Entry.Id = notice.server();
+  out.Entry.StartedAt = milliseconds(notice.born_ms());
+  out.Entry.Service = notice.service();
+  out.Entry.Address = value(address);
+  out.Entry.Zone = notice.zone();
   out.IsLeaving = notice.is_leaving();
   out.LeavesIn = milliseconds(notice.leaves_in_ms());
   return out;
--- a/src/gateway/gossip-messages.h
+++ b/src/gateway/gossip-messages.h
@@ -4,23 +4,23 @@
 
 #include "drumlanding/gateway/config.h"
 #include "drumlanding/gateway/directory.h"
-#include "drumlanding/gateway/ledger.h"
+#include "drumlanding/gateway/run-table.h"
 #include "gateway.pb.h"
 
 #include <vector>
 
 namespace drumlanding::gateway {
 
-wire::Run toWire(const LedgerRun &run);
-LedgerRun fromWire(const wire::Run &run);
+wire::Run toWire(const TrackedRun &run);
+TrackedRun fromWire(const wire::Run &run);
 
 wire::Server toWire(const ListedServer &server);
 /// Leaves out servers whose address cannot be read.
 std::vector<ListedServer>
 fromWire(const google::protobuf::RepeatedPtrField<wire::Server> &servers);
 
-wire::GoneServer toWire(const GoneServer &gone);
-GoneServer fromWire(const wire::GoneServer &gone);
+wire::GoneServer toWire(const RemovedServer &gone);
+RemovedServer fromWire(const wire::GoneServer &gone);
 
 wire::ServerList toWire(const ServerList &list, base::milliseconds age);
 ServerList fromWire(const wire::ServerList &list);
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -42,7 +42,7 @@
 base::Result<std::unique_ptr<Gossip>> Gossip::start(World &world) {
   std::unique_ptr<Gossip> gossip(new Gossip(world));
   Gossip &g = *gossip;
-  auto datagrams = Datagrams::open(world.Io, world.Settings.ControlListen);
+  auto datagrams = DatagramSocket::open(world.Io, world.Settings.ControlListen);
   if (!ok(datagrams))
     return error(datagrams);
   g.Socket = std::move(value(datagrams));
@@ -56,7 +56,7 @@
   g.Control = std::move(value(control));
   world.TellPeers = [&g] { g.tellSoon(); };
   const auto take = [&g](std::string_view bytes,
-                         const Datagrams::Sender &from) {
+                         const DatagramSocket::Sender &from) {
     g.take(bytes, from);
   };
   asio::co_spawn(world.Io, g.Socket->receive(take), asio::detached);
@@ -94,14 +94,14 @@
 void Gossip::tellAll() {
   const base::Instant now = W.now();
   wire::Gossip message = greeting();
-  const std::vector<LedgerRun> runs = W.Runs.ownRuns();
-  const RunNews news = Told.newsOf(runs);
+  const std::vector<TrackedRun> runs = W.Runs.ownRuns();
+  const RunDelta news = Told.nextDelta(runs);
   if (now - ToldAllAt >= TellEvery) {
     ToldAllAt = now;
     addAll(message, runs);
   } else {
     message.set_is_news(true);
-    for (const LedgerRun &run : news.Changed)
+    for (const TrackedRun &run : news.Changed)
       *message.add_runs() = toWire(run);
     for (const RunId id : news.Ended)
       message.add_ended_runs(id);
@@ -120,21 +120,22 @@
   message.set_config_version(W.Routes ? W.Routes->config().Version : 0);
   const base::Instant from = W.hasStoreContact() ? W.ListReadAt : W.ListFrom;
   message.set_list_age_ms(static_cast<std::uint64_t>(base::toMs(now - from)));
-  message.set_steady_ms(
-      static_cast<std::uint64_t>(base::toMs(now - W.Servers.steadySince())));
+  message.set_steady_ms(static_cast<std::uint64_t>(
+      base::toMs(now - W.Servers.storeStableSince())));
   message.set_list_digest(W.Servers.digest());
   message.set_watches_list(W.hasStoreContact());
-  for (const ServerLife &life : W.Servers.leaving(now)) {
+  for (const ServerInstance &life : W.Servers.leaving(now)) {
     wire::ServerLife &out = *message.add_leaving_servers();
     out.set_id(life.Id);
-    out.set_born_ms(static_cast<std::uint64_t>(life.BornAt.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(life.StartedAt.count()));
   }
-  for (const AvoidedServer &avoided : W.Servers.avoided(now)) {
+  for (const EjectedServer &avoided : W.Servers.ejected(now)) {
     wire::Avoided &out = *message.add_avoided();
     out.set_server(avoided.Id);
-    out.set_broken_answers(static_cast<std::uint32_t>(avoided.BrokenAnswers));
-    out.set_left_ms(static_cast<std::uint64_t>(avoided.Left.count()));
-    out.set_born_ms(static_cast<std::uint64_t>(avoided.BornAt.count()));
+    out.set_broken_answers(
+        static_cast<std::uint32_t>(avoided.IncompleteResponses));
+    out.set_left_ms(static_cast<std::uint64_t>(avoided.Remaining.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(avoided.StartedAt.count()));
   }
   return message;
 }
@@ -150,12 +151,12 @@
       *message.add_changed_servers() = toWire(*change.Listed);
     else
       *message.add_gone_servers() =
-          toWire(GoneServer{change.Id, change.Revision});
+          toWire(RemovedServer{change.Id, change.Revision});
   }
 }
 
-void Gossip::addAll(wire::Gossip &message, std::span<const LedgerRun> runs) {
-  for (const LedgerRun &run : runs)
+void Gossip::addAll(wire::Gossip &message, std::span<const TrackedRun> runs) {
+  for (const TrackedRun &run : runs)
     *message.add_runs() = toWire(run);
   // Bytes between zones are paid for: addresses go with a part of the messages.
   if (Messages++ % MessagesPerPeerList != 0)
@@ -166,7 +167,7 @@
 
 void Gossip::send(const wire::Gossip &message) {
   const std::string bytes = message.SerializeAsString();
-  for (const base::Endpoint &to : W.Others.due(W.now()))
+  for (const base::Endpoint &to : W.Others.sendTargets(W.now()))
     Socket->send(to, bytes);
 }
 
@@ -196,7 +197,7 @@
 
 /// Takes a sidecar's notice and answers with the gateways' addresses.
 void Gossip::takeNotice(const wire::Gossip &message,
-                        const Datagrams::Sender &from) {
+                        const DatagramSocket::Sender &from) {
   const base::Instant now = W.now();
   W.Servers.applyNotice(now, fromWire(message.notice()));
   wire::Gossip answer;
@@ -205,10 +206,11 @@
   answer.set_incarnation(W.Incarnation);
   for (const Peer &peer : W.Others.live(now))
     answer.add_peers(base::toString(peer.Address));
-  Socket->answer(from, answer.SerializeAsString());
+  Socket->reply(from, answer.SerializeAsString());
 }
 
-void Gossip::take(std::string_view datagram, const Datagrams::Sender &from) {
+void Gossip::take(std::string_view datagram,
+                  const DatagramSocket::Sender &from) {
   wire::Gossip message;
   if (!message.ParseFromArray(datagram.data(),
                               static_cast<int>(datagram.size())))
@@ -218,14 +220,14 @@
     takeNotice(message, from);
     return;
   }
-  const Peers::Heard heard = W.Others.heard(now, message);
-  if (heard == Peers::Heard::Nothing)
+  const Peers::ReceiveResult heard = W.Others.recordMessage(now, message);
+  if (heard == Peers::ReceiveResult::Ignored)
     return;
   // Who has just started knows nothing yet.
-  if (heard == Peers::Heard::Newcomer && !message.is_last()) {
+  if (heard == Peers::ReceiveResult::NewInstance && !message.is_last()) {
     wire::Gossip all = greeting();
     addAll(all, W.Runs.ownRuns());
-    Socket->answer(from, all.SerializeAsString());
+    Socket->reply(from, all.SerializeAsString());
   }
   takeRuns(now, message);
   takeServers(now, message);
@@ -233,30 +235,30 @@
 }
 
 void Gossip::takeRuns(base::Instant now, const wire::Gossip &message) {
-  std::vector<LedgerRun> runs;
+  std::vector<TrackedRun> runs;
   for (const wire::Run &run : message.runs())
     runs.push_back(fromWire(run));
   if (message.is_news())
-    W.Runs.takePeerNews(
+    W.Runs.applyPeerDelta(
         now, message.address(), runs,
         {message.ended_runs().begin(), message.ended_runs().end()});
   else
-    W.Runs.takePeer(now, message.address(), std::move(runs));
+    W.Runs.applyPeerSnapshot(now, message.address(), std::move(runs));
 }
 
 void Gossip::takeServers(base::Instant now, const wire::Gossip &message) {
   for (const wire::ServerLife &life : message.leaving_servers())
     W.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
   for (const wire::Avoided &avoided : message.avoided())
-    W.Servers.applyAvoided(now, {avoided.server(),
-                                 static_cast<int>(avoided.broken_answers()),
-                                 milliseconds(avoided.left_ms()),
-                                 milliseconds(avoided.born_ms())});
+    W.Servers.applyEjection(now, {avoided.server(),
+                                  static_cast<int>(avoided.broken_answers()),
+                                  milliseconds(avoided.left_ms()),
+                                  milliseconds(avoided.born_ms())});
   // An outage of the store is one that affects every gateway, not a loss of
   // this gateway's own path to it.
   if (message.watches_list())
-    W.Servers.noteStoreContact(now - milliseconds(message.list_age_ms()),
-                               now - milliseconds(message.steady_ms()));
+    W.Servers.recordStoreContact(now - milliseconds(message.list_age_ms()),
+                                 now - milliseconds(message.steady_ms()));
   for (const ListedServer &listed : fromWire(message.changed_servers()))
     W.Servers.put(now, listed, Evidence::Gateway);
   for (const wire::GoneServer &gone : message.gone_servers())
@@ -295,7 +297,7 @@
 }
 
 void Gossip::fetchFailed(const Peer &from, std::string_view what) {
-  W.Others.failed(W.now(), from);
+  W.Others.recordFetchFailure(W.now(), from);
   W.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
 }
 
@@ -322,7 +324,7 @@
   }
   const base::Instant now = W.now();
   const base::Instant listFrom = now - milliseconds(list.age_ms());
-  W.Servers.replaceAll(now, fromWire(list), Evidence::Gateway);
+  W.Servers.applySnapshot(now, fromWire(list), Evidence::Gateway);
   W.ListRevision = std::max<std::uint64_t>(W.ListRevision, list.revision());
   W.ListFrom = std::max(W.ListFrom, listFrom);
   W.Log.write("servers-from-peer", {{"peer", from.Name},
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -4,8 +4,8 @@
 
 #include "world.h"
 
-#include "drumlanding/gateway/datagrams.h"
-#include "drumlanding/gateway/told-runs.h"
+#include "drumlanding/gateway/datagram-socket.h"
+#include "drumlanding/gateway/run-delta.h"
 #include "drumlanding/http/http.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -32,11 +32,12 @@
   void tellAll();
   wire::Gossip greeting();
   void addListNews(wire::Gossip &message);
-  void addAll(wire::Gossip &message, std::span<const LedgerRun> runs);
+  void addAll(wire::Gossip &message, std::span<const TrackedRun> runs);
   void send(const wire::Gossip &message);
-  void take(std::string_view datagram, const Datagrams::Sender &from);
+  void take(std::string_view datagram, const DatagramSocket::Sender &from);
   void askBeside(const Server &server);
-  void takeNotice(const wire::Gossip &message, const Datagrams::Sender &from);
+  void takeNotice(const wire::Gossip &message,
+                  const DatagramSocket::Sender &from);
   void takeRuns(base::Instant now, const wire::Gossip &message);
   void takeServers(base::Instant now, const wire::Gossip &message);
   void adoptListAge(base::Instant now, const wire::Gossip &message);
@@ -47,11 +48,11 @@
   asio::awaitable<void> fetchServers(Peer from);
 
   World &W;
-  std::unique_ptr<Datagrams> Socket;
+  std::unique_ptr<DatagramSocket> Socket;
   asio::steady_timer NextTell;
   /// News are to be told: at the start, that this gateway is there.
   bool IsTellDue = true;
-  ToldRuns Told;
+  RunDeltaTracker Told;
   /// When all was told last, not only news.
   base::Instant ToldAllAt{};
   /// Messages with all so far.
--- a/src/gateway/move-plan.cc
+++ b/src/gateway/migration-order.cc
@@ -1,4 +1,4 @@
-#include "drumlanding/gateway/move-plan.h"
+#include "drumlanding/gateway/migration-order.h"
 
 #include <algorithm>
 #include <tuple>
@@ -18,18 +18,18 @@
 
 /// Returns what a run is worth for the time that its copy takes. Only what
 /// every gateway knows alike and what does not change decides.
-double worthOf(const LedgerRun &run) {
-  const double output = std::min(run.ExpectedTokens, run.MostTokens);
+double worthOf(const TrackedRun &run) {
+  const double output = std::min(run.ExpectedTokens, run.MaxTokens);
   const double prompt = std::max(run.PromptTokens, 1U);
   return (prompt + OutputWeight * output) / prompt;
 }
 
 /// A copy that is under way is not overtaken, and what has not begun has
 /// nothing to copy yet.
-bool comesBefore(const LedgerRun &a, const LedgerRun &b) {
-  const auto rank = [](const LedgerRun &run) {
-    const bool isMoving = run.HasBegun && !run.CopyServer.empty();
-    return std::make_tuple(isMoving, run.HasBegun, mayOutlastNotice(run),
+bool comesBefore(const TrackedRun &a, const TrackedRun &b) {
+  const auto rank = [](const TrackedRun &run) {
+    const bool isMoving = run.HasFirstToken && !run.CopyServer.empty();
+    return std::make_tuple(isMoving, run.HasFirstToken, mayOutlastNotice(run),
                            worthOf(run), run.Id);
   };
   return rank(a) > rank(b);
@@ -37,12 +37,12 @@
 
 } // namespace
 
-bool mayOutlastNotice(const LedgerRun &run) {
-  return run.MostTokens > TokensInNotice;
+bool mayOutlastNotice(const TrackedRun &run) {
+  return run.MaxTokens > TokensInNotice;
 }
 
-bool isTurn(std::span<const LedgerRun> there, const LedgerRun &own) {
-  return std::none_of(there.begin(), there.end(), [&](const LedgerRun &other) {
+bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own) {
+  return std::none_of(there.begin(), there.end(), [&](const TrackedRun &other) {
     return other.Id != own.Id && comesBefore(other, own);
   });
 }
--- a/src/gateway/mover.cc
+++ b/src/gateway/mover.cc
@@ -3,7 +3,7 @@
 #include "gateway-metrics.h"
 
 #include "drumlanding/daemon/sleep.h"
-#include "drumlanding/gateway/move-plan.h"
+#include "drumlanding/gateway/migration-order.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -15,7 +15,7 @@
 
 using base::milliseconds;
 using daemon::sleepFor;
-using Outcome = MoveAnswer::Outcome;
+using Outcome = CopyResponse::Outcome;
 
 /// A copy that takes this much longer than its bytes need has waited behind
 /// others, and so would the last one.
@@ -47,26 +47,26 @@
 std::uint32_t StreamRun::madeTokens() const {
   const int stride =
       F.TheService->Engine ? F.TheService->Engine->TokensPerEvent : 1;
-  return static_cast<std::uint32_t>(Events.events() *
+  return static_cast<std::uint32_t>(Events.eventCount() *
                                     static_cast<std::uint64_t>(stride));
 }
 
-LedgerRun StreamRun::ledgerRun() const {
-  LedgerRun run;
+TrackedRun StreamRun::ledgerRun() const {
+  TrackedRun run;
   run.Id = Id;
   run.Server = Server;
   run.CopyServer = CopyServer;
   run.PromptTokens = F.Request.PromptTokens;
   run.ExpectedTokens = F.Request.ExpectedTokens;
-  run.MostTokens = F.Request.MostTokens;
-  run.MadeTokens = madeTokens();
-  run.HasBegun = run.MadeTokens > 0;
+  run.MaxTokens = F.Request.MaxTokens;
+  run.GeneratedTokens = madeTokens();
+  run.HasFirstToken = run.GeneratedTokens > 0;
   return run;
 }
 
 Demand StreamRun::remainingDemand() const {
-  const LedgerRun run = ledgerRun();
-  return {run.PromptTokens + run.MadeTokens, expectedRemaining(run)};
+  const TrackedRun run = ledgerRun();
+  return {run.PromptTokens + run.GeneratedTokens, expectedRemainingTokens(run)};
 }
 
 void Mover::add(const StreamRunPointer &run) { Running.push_back(run); }
@@ -86,7 +86,7 @@
 void Mover::moveIfLeaving(const StreamRunPointer &run) {
   const Server *source = W.Servers.find(run->Server);
   const auto &engine = run->F.TheService->Engine;
-  if (!source || !source->IsLeaving || !engine || !engine->CanMove ||
+  if (!source || !source->IsLeaving || !engine || !engine->CanMigrate ||
       run->IsMoving || run->IsOver)
     return;
   run->IsMoving = true;
@@ -95,17 +95,17 @@
 
 base::Instant Mover::goneAt(const Server &server) const {
   const Server *known = W.Servers.find(server.Listed.Id);
-  if (known && known->GoneAt != base::Instant{})
-    return known->GoneAt;
+  if (known && known->ShutdownAt != base::Instant{})
+    return known->ShutdownAt;
   return server.LeavingSince +
          (known && known->IsPlannedLeave ? W.Settings.Drain : ShortestNotice);
 }
 
 base::Duration Mover::copyTimeOf(const StreamRun &run, const Server &source,
                                  const Server &destination) const {
-  const LedgerRun known = run.ledgerRun();
+  const TrackedRun known = run.ledgerRun();
   return copyTime(*run.F.TheService->Engine,
-                  known.PromptTokens + known.MadeTokens,
+                  known.PromptTokens + known.GeneratedTokens,
                   source.Listed.Zone != destination.Listed.Zone);
 }
 
@@ -116,8 +116,8 @@
   std::size_t before = 0;
   base::Instant changedAt = W.now();
   while (run->isOn(sourceId) && W.Servers.find(sourceId)) {
-    const std::vector<LedgerRun> there = W.Runs.runsOn(sourceId);
-    if (isTurn(there, run->ledgerRun()))
+    const std::vector<TrackedRun> there = W.Runs.runsOn(sourceId);
+    if (isNextToMigrate(there, run->ledgerRun()))
       co_return;
     const base::Instant now = W.now();
     if (there.size() != before)
@@ -142,23 +142,23 @@
     check.cancel();
 }
 
-asio::awaitable<MoveAnswer> Mover::copy(StreamRunPointer run, Server source,
-                                        Server destination, bool isLast) {
-  const MoveOrder order{run->F.Request.AttemptId, destination.Listed.Address,
-                        isLast};
-  http::Request request = W.Words.ToMove(order);
+asio::awaitable<CopyResponse> Mover::copy(StreamRunPointer run, Server source,
+                                          Server destination, bool isLast) {
+  const CopyRequest order{run->F.Request.AttemptId, destination.Listed.Address,
+                          isLast};
+  http::Request request = W.Words.EncodeCopyRequest(order);
   const base::Instant asked = W.now();
   http::Fetched fetched = co_await http::fetch(source.Listed.Address,
                                                std::move(request), CopyLimit);
-  const MoveAnswer answer = W.Words.ReadMove(fetched.Answer);
+  const CopyResponse answer = W.Words.DecodeCopyResponse(fetched.Answer);
   countMove(W.Metrics, isLast ? "copied last" : "copied",
-            answer.What == Outcome::Copied);
+            answer.Code == Outcome::Copied);
   W.Log.write("move-copied", {{"request", run->F.Request.AttemptId},
                               {"from", source.Listed.Id},
                               {"to", destination.Listed.Id},
                               {"last", isLast},
-                              {"outcome", static_cast<int>(answer.What)},
-                              {"events", answer.EventsMade},
+                              {"outcome", static_cast<int>(answer.Code)},
+                              {"events", answer.EventsGenerated},
                               {"ms", base::toMs(W.now() - asked)}});
   co_return answer;
 }
@@ -174,15 +174,15 @@
     // With too little time for a copy and its rest, the last must do alone.
     if (asked + expected + LastCopyTime > goneAt(source))
       co_return true;
-    const MoveAnswer answer = co_await copy(run, source, destination, false);
+    const CopyResponse answer = co_await copy(run, source, destination, false);
     if (!run->isOn(source.Listed.Id)) {
-      if (answer.What == Outcome::Copied)
+      if (answer.Code == Outcome::Copied)
         co_await freeCopy(source.Listed.Address, answer.Handle);
       co_return false;
     }
-    if (answer.What == Outcome::NoRoom || answer.What == Outcome::Failed)
+    if (answer.Code == Outcome::NoRoom || answer.Code == Outcome::Failed)
       co_return false;
-    const bool isCopied = answer.What == Outcome::Copied;
+    const bool isCopied = answer.Code == Outcome::Copied;
     if (isCopied && W.now() - asked < expected + QueueSlack)
       co_return true;
     if (isCopied)
@@ -198,12 +198,12 @@
   if (run->IsOver)
     return;
   run->CopyServer = std::move(server);
-  W.Runs.begin(run->ledgerRun());
+  W.Runs.upsert(run->ledgerRun());
   W.TellPeers();
 }
 
 asio::awaitable<void> Mover::freeCopy(base::Endpoint at, std::string handle) {
-  http::Request request = W.Words.ToFreeCopy(handle);
+  http::Request request = W.Words.EncodeReleaseCopy(handle);
   co_await http::fetch(at, std::move(request), FreeLimit);
 }
 
@@ -211,10 +211,10 @@
 void Mover::passTurn(const StreamRunPointer &run, const std::string &next) {
   if (run->IsOver)
     return;
-  LedgerRun moved = run->ledgerRun();
+  TrackedRun moved = run->ledgerRun();
   moved.Server = next;
   moved.CopyServer.clear();
-  W.Runs.begin(moved);
+  W.Runs.upsert(moved);
   W.TellPeers();
 }
 
@@ -226,12 +226,12 @@
   const bool isThere = run->isOn(source.Listed.Id);
   if (!isThere || !isCopied)
     co_return !isThere;
-  const MoveAnswer answer = co_await copy(run, source, destination, true);
+  const CopyResponse answer = co_await copy(run, source, destination, true);
   if (answer.Handle.empty())
     co_return false;
   // When the last copy failed, the source has stopped and kept the memory.
-  const bool isComplete = answer.What == Outcome::Copied;
-  run->Next = Continuation{source.Listed.Address, answer.Handle, 0};
+  const bool isComplete = answer.Code == Outcome::Copied;
+  run->Next = ResumePoint{source.Listed.Address, answer.Handle, 0};
   run->NextServer = isComplete ? destination.Listed.Id : source.Listed.Id;
   // Not before: the next run's copy would hold up this last, short one.
   passTurn(run, run->NextServer);
@@ -246,7 +246,7 @@
     if (!source)
       break;
     const Server from = *source;
-    const Choice choice = W.Placing.forMove(
+    const Choice choice = W.Placing.chooseForMigration(
         W.now(), *run->F.TheService, run->remainingDemand(), from, tried);
     if (!choice.Chosen)
       break;
--- a/src/gateway/mover.h
+++ b/src/gateway/mover.h
@@ -31,7 +31,7 @@
   /// A move is under way: the end of the connection is part of it.
   bool IsMoving = false;
   /// The source has stopped, or will have: the stream goes on from here.
-  std::optional<Continuation> Next;
+  std::optional<ResumePoint> Next;
   std::string NextServer;
   base::Instant StoppedAt{};
   /// Cancelled when a move ends.
@@ -42,7 +42,7 @@
     return !IsOver && Server == server;
   }
   std::uint32_t madeTokens() const;
-  LedgerRun ledgerRun() const;
+  TrackedRun ledgerRun() const;
   Demand remainingDemand() const;
 };
 using StreamRunPointer = std::shared_ptr<StreamRun>;
@@ -70,8 +70,8 @@
   asio::awaitable<void> waitForChange();
   asio::awaitable<bool> copyWhileRunning(StreamRunPointer run, Server source,
                                          Server destination);
-  asio::awaitable<MoveAnswer> copy(StreamRunPointer run, Server source,
-                                   Server destination, bool isLast);
+  asio::awaitable<CopyResponse> copy(StreamRunPointer run, Server source,
+                                     Server destination, bool isLast);
   asio::awaitable<void> freeCopy(base::Endpoint at, std::string handle);
   base::Instant goneAt(const Server &server) const;
   base::Duration copyTimeOf(const StreamRun &run, const Server &source,
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -40,51 +40,52 @@
   const auto [it, isNew] = Contacts.try_emplace(base::toString(address));
   if (!isNew)
     return;
-  it->second.Known.Address = address;
+  it->second.Gateway.Address = address;
   it->second.AddedAt = now;
 }
 
-Peers::Heard Peers::heard(base::Instant now, const wire::Gossip &gossip) {
+Peers::ReceiveResult Peers::recordMessage(base::Instant now,
+                                          const wire::Gossip &gossip) {
   const auto address = base::parseEndpoint("peer", gossip.address());
   if (!ok(address) || value(address) == Options.Own)
-    return Heard::Nothing;
+    return ReceiveResult::Ignored;
   add(now, value(address));
   Contact &contact = Contacts[gossip.address()];
   contact.HasAnswered = !gossip.is_last();
-  Peer &peer = contact.Known;
-  const bool isNew = peer.HeardAt == base::Instant{} ||
+  Peer &peer = contact.Gateway;
+  const bool isNew = peer.LastSeenAt == base::Instant{} ||
                      peer.Incarnation != gossip.incarnation();
   peer.Name = gossip.name();
   peer.Incarnation = gossip.incarnation();
-  peer.HeardAt = now;
+  peer.LastSeenAt = now;
   peer.ConfigVersion = gossip.config_version();
   peer.WatchesList = gossip.watches_list();
-  peer.ListFrom = now - base::milliseconds(gossip.list_age_ms());
+  peer.ListUpdatedAt = now - base::milliseconds(gossip.list_age_ms());
   for (const std::string &other : gossip.peers()) {
     const auto endpoint = base::parseEndpoint("peer", other);
     if (ok(endpoint))
       add(now, value(endpoint));
   }
-  return isNew ? Heard::Newcomer : Heard::Known;
+  return isNew ? ReceiveResult::NewInstance : ReceiveResult::Known;
 }
 
-std::vector<base::Endpoint> Peers::due(base::Instant now) {
+std::vector<base::Endpoint> Peers::sendTargets(base::Instant now) {
   std::vector<base::Endpoint> due;
   for (auto it = Contacts.begin(); it != Contacts.end();) {
     Contact &contact = it->second;
-    const Peer &peer = contact.Known;
+    const Peer &peer = contact.Gateway;
     const bool isSeed = std::find(Options.Seeds.begin(), Options.Seeds.end(),
                                   peer.Address) != Options.Seeds.end();
-    const base::Instant last = std::max(peer.HeardAt, contact.AddedAt);
+    const base::Instant last = std::max(peer.LastSeenAt, contact.AddedAt);
     if (!isSeed && now - last > DropAfter) {
       it = Contacts.erase(it);
       continue;
     }
     ++it;
-    const bool isLive = contact.HasAnswered && now - peer.HeardAt < LiveTime;
-    if (!isLive && now < contact.NextTry)
+    const bool isLive = contact.HasAnswered && now - peer.LastSeenAt < LiveTime;
+    if (!isLive && now < contact.NextSendAt)
       continue;
-    contact.NextTry = now + TryEvery;
+    contact.NextSendAt = now + TryEvery;
     due.push_back(peer.Address);
   }
   return due;
@@ -93,20 +94,19 @@
 std::vector<Peer> Peers::live(base::Instant now) const {
   std::vector<Peer> live;
   for (const auto &[address, contact] : Contacts)
-    if (contact.HasAnswered && now - contact.Known.HeardAt < LiveTime)
-      live.push_back(contact.Known);
+    if (contact.HasAnswered && now - contact.Gateway.LastSeenAt < LiveTime)
+      live.push_back(contact.Gateway);
   return live;
 }
 
-void Peers::failed(base::Instant now, const Peer &peer) {
+void Peers::recordFetchFailure(base::Instant now, const Peer &peer) {
   const auto it = Contacts.find(base::toString(peer.Address));
   if (it != Contacts.end())
     it->second.FailedAt = now;
 }
 
-std::optional<Peer>
-Peers::firstWith(base::Instant now,
-                 const std::function<bool(const Peer &)> &isNewer) const {
+std::optional<Peer> Peers::leastRecentlyFailed(
+    base::Instant now, const std::function<bool(const Peer &)> &isNewer) const {
   std::optional<Peer> first;
   base::Instant firstFailedAt = base::Instant::max();
   for (const Peer &peer : live(now)) {
@@ -122,14 +122,14 @@
 
 std::optional<Peer> Peers::withNewerConfig(base::Instant now,
                                            std::uint64_t version) const {
-  return firstWith(
+  return leastRecentlyFailed(
       now, [&](const Peer &peer) { return peer.ConfigVersion > version; });
 }
 
 std::optional<Peer> Peers::withNewerList(base::Instant now,
                                          base::Instant ownListFrom) const {
-  return firstWith(now, [&](const Peer &peer) {
-    return peer.ListFrom - ownListFrom > ListIsNewer;
+  return leastRecentlyFailed(now, [&](const Peer &peer) {
+    return peer.ListUpdatedAt - ownListFrom > ListIsNewer;
   });
 }
 
@@ -139,7 +139,7 @@
   int before = 0;
   int watching = 0;
   for (const Peer &peer : others) {
-    if (now - peer.ListFrom > ListIsOld)
+    if (now - peer.ListUpdatedAt > MaxListAge)
       continue;
     watching += peer.WatchesList ? 1 : 0;
     before += base::hash64(base::toString(peer.Address)) < own ? 1 : 0;
@@ -147,12 +147,12 @@
   return before < Watchers || watching == 0;
 }
 
-int Peers::gateways(base::Instant now) const {
+int Peers::gatewayCount(base::Instant now) const {
   const auto n =
       std::count_if(Contacts.begin(), Contacts.end(), [&](const auto &entry) {
-        const Peer &peer = entry.second.Known;
-        return peer.HeardAt != base::Instant{} &&
-               now - peer.HeardAt < CountTime;
+        const Peer &peer = entry.second.Gateway;
+        return peer.LastSeenAt != base::Instant{} &&
+               now - peer.LastSeenAt < CountTime;
       });
   const int known = static_cast<int>(n) + 1;
   return now - StartedAt < MeetTime ? std::max(known, UnknownGateways) : known;
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -55,17 +55,17 @@
 double engineCost(base::Instant now, const Server &server,
                   const EngineTraits &engine, const EngineLoad &load,
                   const Demand &demand) {
-  double cost = static_cast<double>(load.UnreadTokens) * ReadMsPerToken;
+  double cost = static_cast<double>(load.PendingPromptTokens) * ReadMsPerToken;
   cost += static_cast<double>(load.ForecastTokens) * HoldMsPerToken;
   cost += static_cast<double>(
       std::max(std::int64_t{0}, base::toMs(server.ColdUntil - now)));
-  cost += server.FailurePart * FailureMs;
-  if (const int n = brokenAnswersOf(server, now); n > 0)
+  cost += server.FailureRate * FailureMs;
+  if (const int n = recentIncompleteResponses(server, now); n > 0)
     cost += isTrial(demand, load) ? n * BrokenAnswerMs : UntriedMs;
-  const double limit = MemoryLimit * static_cast<double>(engine.MemoryTokens);
+  const double limit = MemoryLimit * static_cast<double>(engine.KvCacheTokens);
   const double filled = static_cast<double>(load.ForecastTokens) +
                         demand.PromptTokens + demand.ExpectedTokens;
-  if (engine.MemoryTokens > 0 && filled > limit)
+  if (engine.KvCacheTokens > 0 && filled > limit)
     cost += (filled - limit) * OverflowMsPerToken;
   return cost;
 }
@@ -104,18 +104,19 @@
   return best;
 }
 
-Choice Placement::forGeneration(base::Instant now, const Service &service,
-                                const Demand &demand,
-                                std::span<const std::string> tried) const {
+Choice
+Placement::chooseForGeneration(base::Instant now, const Service &service,
+                               const Demand &demand,
+                               std::span<const std::string> tried) const {
   const auto wayCost = [this](const Server &server, const EngineLoad &) {
     return server.Listed.Zone == Zone ? 0 : OtherZoneMs;
   };
   return choose(now, service, demand, tried, wayCost);
 }
 
-Choice Placement::forMove(base::Instant now, const Service &service,
-                          const Demand &demand, const Server &source,
-                          std::span<const std::string> tried) const {
+Choice Placement::chooseForMigration(base::Instant now, const Service &service,
+                                     const Demand &demand, const Server &source,
+                                     std::span<const std::string> tried) const {
   const auto wayCost = [&](const Server &server, const EngineLoad &load) {
     const bool isNear = server.Listed.Zone == source.Listed.Zone;
     return (isNear ? 0 : OtherZoneCopyMs) +
@@ -125,9 +126,10 @@
   return choose(now, service, demand, tried, wayCost);
 }
 
-const Server *Placement::forCall(base::Instant now, std::string_view service,
-                                 std::span<const std::string> tried,
-                                 base::Random &random) const {
+const Server *Placement::chooseForRequest(base::Instant now,
+                                          std::string_view service,
+                                          std::span<const std::string> tried,
+                                          base::Random &random) const {
   const Server *best = nullptr;
   double bestRank = 0;
   for (const Server *server : Servers.usable(now, service)) {
@@ -135,9 +137,10 @@
       continue;
     // Below one open request: first the zone, then chance.
     const double tie = server->Listed.Zone == Zone ? 0 : 0.5;
-    const double rank = server->Open + tie + random.unit() * 0.4 +
-                        server->FailurePart * FailureRank +
-                        brokenAnswersOf(*server, now) * BrokenAnswerRank;
+    const double rank =
+        server->OpenRequests + tie + random.unit() * 0.4 +
+        server->FailureRate * FailureRank +
+        recentIncompleteResponses(*server, now) * BrokenAnswerRank;
     if (best && rank >= bestRank)
       continue;
     best = server;
--- a/src/gateway/retry-budget.cc
+++ b/src/gateway/retry-budget.cc
@@ -16,24 +16,25 @@
 
 } // namespace
 
-void RetryBudget::forget(base::Instant now, Use &use) const {
-  dropBefore(use.First, now - Options.Window);
+void RetryBudget::dropExpired(base::Instant now, ServiceUsage &use) const {
+  dropBefore(use.FirstSends, now - Options.Window);
   dropBefore(use.Retries, now - Options.Window);
 }
 
-void RetryBudget::firstSend(base::Instant now, std::string_view service) {
-  Use &use = Uses[std::string(service)];
-  forget(now, use);
-  use.First.push_back(now);
+void RetryBudget::recordFirstSend(base::Instant now, std::string_view service) {
+  ServiceUsage &use = UsageByService[std::string(service)];
+  dropExpired(now, use);
+  use.FirstSends.push_back(now);
 }
 
 bool RetryBudget::tryRetry(base::Instant now, std::string_view service,
                            int gateways) {
-  Use &use = Uses[std::string(service)];
-  forget(now, use);
+  ServiceUsage &use = UsageByService[std::string(service)];
+  dropExpired(now, use);
   const double allowed =
-      SafePart * (Options.Part * static_cast<double>(use.First.size()) +
-                  Options.Extra / std::max(gateways, 1));
+      SafePart *
+      (Options.RetryRatio * static_cast<double>(use.FirstSends.size()) +
+       Options.ExtraRetries / std::max(gateways, 1));
   if (static_cast<double>(use.Retries.size()) + 1 > allowed)
     return false;
   use.Retries.push_back(now);
--- /dev/null
+++ b/src/gateway/run-table.cc
@@ -0,0 +1,127 @@
+#include "drumlanding/gateway/run-table.h"
+
+#include <algorithm>
+
+namespace drumlanding::gateway {
+namespace {
+
+/// A gateway that is silent for so long (three of its reports) has no say.
+constexpr base::milliseconds PeerSilence{1'800};
+/// Tokens that a generation makes within the time that placement looks ahead:
+/// four seconds at 8 ms a token.
+constexpr std::uint32_t HorizonTokens = 500;
+/// A generation that has outrun its estimate goes on for this part of what it
+/// has made: estimates are right at the median and widely spread.
+constexpr double OutrunPart = 0.5;
+
+void addMemory(EngineLoad &load, const TrackedRun &run) {
+  const std::uint32_t used = run.PromptTokens + run.GeneratedTokens;
+  load.UsedTokens += used;
+  load.ForecastTokens += used + expectedRemainingTokens(run);
+}
+
+void addCopy(EngineLoad &load, const TrackedRun &run) {
+  addMemory(load, run);
+  ++load.IncomingCopies;
+}
+
+void addRun(EngineLoad &load, const TrackedRun &run) {
+  addMemory(load, run);
+  ++load.Running;
+  if (!run.HasFirstToken)
+    load.PendingPromptTokens += run.PromptTokens;
+}
+
+} // namespace
+
+std::uint32_t expectedRemainingTokens(const TrackedRun &run) {
+  const auto outrun =
+      static_cast<std::uint32_t>(run.GeneratedTokens * OutrunPart);
+  const std::uint32_t left = run.ExpectedTokens > run.GeneratedTokens
+                                 ? run.ExpectedTokens - run.GeneratedTokens
+                                 : outrun;
+  const std::uint32_t most = run.MaxTokens > run.GeneratedTokens
+                                 ? run.MaxTokens - run.GeneratedTokens
+                                 : 0;
+  return std::min({left, most, HorizonTokens});
+}
+
+void RunTable::upsert(const TrackedRun &run) {
+  OwnRuns[run.Id] = run;
+  notifyChange();
+}
+
+void RunTable::updateProgress(RunId id, std::uint32_t madeTokens) {
+  const auto it = OwnRuns.find(id);
+  if (it == OwnRuns.end())
+    return;
+  it->second.GeneratedTokens = madeTokens;
+  it->second.HasFirstToken = true;
+}
+
+void RunTable::remove(RunId id) {
+  if (OwnRuns.erase(id) > 0)
+    notifyChange();
+}
+
+void RunTable::applyPeerSnapshot(base::Instant now, const std::string &peer,
+                                 std::vector<TrackedRun> runs) {
+  Peers[peer] = {now, std::move(runs)};
+  notifyChange();
+}
+
+void RunTable::applyPeerDelta(base::Instant now, const std::string &peer,
+                              const std::vector<TrackedRun> &changed,
+                              const std::vector<RunId> &ended) {
+  Peer &known = Peers[peer];
+  known.LastSeenAt = now;
+  std::erase_if(known.Runs, [&](const TrackedRun &run) {
+    const auto isThis = [&](const TrackedRun &r) { return r.Id == run.Id; };
+    return std::find(ended.begin(), ended.end(), run.Id) != ended.end() ||
+           std::any_of(changed.begin(), changed.end(), isThis);
+  });
+  known.Runs.insert(known.Runs.end(), changed.begin(), changed.end());
+  notifyChange();
+}
+
+void RunTable::tick(base::Instant now) {
+  std::erase_if(Peers, [&](const auto &entry) {
+    return now - entry.second.LastSeenAt > PeerSilence;
+  });
+}
+
+template <typename Visit> void RunTable::forEachRun(Visit visit) const {
+  for (const auto &[id, run] : OwnRuns)
+    visit(run);
+  for (const auto &[name, peer] : Peers)
+    for (const TrackedRun &run : peer.Runs)
+      visit(run);
+}
+
+std::unordered_map<std::string_view, EngineLoad> RunTable::loads() const {
+  std::unordered_map<std::string_view, EngineLoad> loads;
+  forEachRun([&](const TrackedRun &run) {
+    addRun(loads[run.Server], run);
+    if (!run.CopyServer.empty() && run.CopyServer != run.Server)
+      addCopy(loads[run.CopyServer], run);
+  });
+  return loads;
+}
+
+std::vector<TrackedRun> RunTable::runsOn(std::string_view server) const {
+  std::vector<TrackedRun> runs;
+  forEachRun([&](const TrackedRun &run) {
+    if (run.Server == server)
+      runs.push_back(run);
+  });
+  return runs;
+}
+
+std::vector<TrackedRun> RunTable::ownRuns() const {
+  std::vector<TrackedRun> runs;
+  for (const auto &[id, run] : OwnRuns)
+    runs.push_back(run);
+  return runs;
+}
+
+} // namespace drumlanding::gateway
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -22,7 +22,8 @@
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source)
+             GatewaySettings settings, ProtocolCodec dialect,
+             StoreReader source)
     : W(io, clock, std::move(settings), std::move(dialect), std::move(source)),
       Moves(W), Requests(W, Moves) {
   W.Servers.OnLeaving = [this](const Server &server) {
@@ -31,7 +32,7 @@
       W.TellPeers();
   };
   W.Runs.OnChange = [this] { Moves.runsChanged(); };
-  W.Servers.OnOutageOver = [this](base::Duration length) {
+  W.Servers.OnOutageEnd = [this](base::Duration length) {
     W.Log.write("store-outage-over", {{"ms", base::toMs(length)}});
   };
   W.Servers.OnChange = [this](std::string_view event, Evidence evidence,
@@ -44,9 +45,11 @@
   };
 }
 
-base::Result<std::unique_ptr<Shell>>
-Shell::start(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source) {
+base::Result<std::unique_ptr<Shell>> Shell::start(asio::io_context &io,
+                                                  const base::Clock &clock,
+                                                  GatewaySettings settings,
+                                                  ProtocolCodec dialect,
+                                                  StoreReader source) {
   std::unique_ptr<Shell> shell(new Shell(
       io, clock, std::move(settings), std::move(dialect), std::move(source)));
   if (auto r = shell->listen(); !ok(r))
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -86,7 +86,8 @@
 
 void noteListRead(World &world, base::Instant now) {
   const bool hasFailed = world.ListReadFailedAt > world.ListReadAt;
-  world.Servers.noteStoreContact(now, hasFailed ? world.ListReadFailedAt : now);
+  world.Servers.recordStoreContact(now,
+                                   hasFailed ? world.ListReadFailedAt : now);
   world.ListReadAt = now;
   world.ListFrom = now;
 }
@@ -134,7 +135,7 @@
   }
   const base::Instant now = world.now();
   noteListRead(world, now);
-  world.Servers.replaceAll(now, all);
+  world.Servers.applySnapshot(now, all);
   world.ListRevision = std::max(world.ListRevision, all.Revision);
 }
 
@@ -151,7 +152,8 @@
 
 /// Waits for a change of the config. A long watch ends as soon as this gateway
 /// has to follow the store itself: its connection may be dead.
-Source::Answer<ConfigText> nextConfig(World &world, std::uint64_t revision) {
+StoreReader::AsyncResult<ConfigText> nextConfig(World &world,
+                                                std::uint64_t revision) {
   if (world.WatchesList) {
     const milliseconds wait = watchWait(world.Settings.ConfigApply);
     co_return co_await world.From.WatchConfig(revision, wait);
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -39,7 +39,7 @@
   asio::awaitable<void> passEvents();
   asio::awaitable<bool> pass(std::string events);
   asio::awaitable<bool> recover();
-  asio::awaitable<bool> continueAt(Server server, Continuation from);
+  asio::awaitable<bool> continueAt(Server server, ResumePoint from);
   void enterLedger(const std::string &server);
   void leaveLedger();
   void tellIfLeaving();
@@ -50,7 +50,7 @@
   http::Exchange &X;
   Mover &Moves;
   StreamRunPointer Run;
-  ServerAnswer Head;
+  ServerResponse Head;
   bool IsHeadSent = false;
   base::Instant LastEvent{};
   /// From the request to its first event; 0 before that.
@@ -61,15 +61,15 @@
 void StreamForwarder::enterLedger(const std::string &server) {
   Run->Server = server;
   Run->CopyServer.clear();
-  LedgerRun run = Run->ledgerRun();
-  run.Since = W.now();
-  W.Runs.begin(run);
+  TrackedRun run = Run->ledgerRun();
+  run.StartedAt = W.now();
+  W.Runs.upsert(run);
   if (W.TellPeers)
     W.TellPeers();
 }
 
 void StreamForwarder::leaveLedger() {
-  W.Runs.end(Run->Id);
+  W.Runs.remove(Run->Id);
   tellIfLeaving();
   Run->Server.clear();
 }
@@ -89,7 +89,7 @@
     co_return attempt;
   }
   ++F.Sends;
-  attempt.End = AttemptEnd::Broken;
+  attempt.End = AttemptOutcome::Incomplete;
   attempt.Why = "no head";
   sendTo(F, server, std::nullopt);
   auto head = co_await readOwnHead(F);
@@ -98,11 +98,11 @@
   Head = std::move(*head);
   attempt.End = endOf(Head);
   attempt.Why = "answered";
-  if (attempt.End == AttemptEnd::Served && Head.Status == Fine)
+  if (attempt.End == AttemptOutcome::Served && Head.Status == Fine)
     co_return attempt;
   auto body = co_await readBody(F);
   if (!body) {
-    attempt.End = AttemptEnd::Broken;
+    attempt.End = AttemptOutcome::Incomplete;
     attempt.Why = "a failure that is not whole";
     co_return attempt;
   }
@@ -115,7 +115,7 @@
   for (;;) {
     const Demand demand{F.Request.PromptTokens, F.Request.ExpectedTokens};
     const Choice choice =
-        W.Placing.forGeneration(W.now(), *F.TheService, demand, F.Tried);
+        W.Placing.chooseForGeneration(W.now(), *F.TheService, demand, F.Tried);
     if (!choice.Chosen) {
       logEnd("no server");
       http::Response response =
@@ -134,13 +134,13 @@
                            {"prompt_tokens", F.Request.PromptTokens},
                            {"expected_tokens", F.Request.ExpectedTokens}});
     enterLedger(id);
-    W.Servers.opened(id);
+    W.Servers.requestStarted(id);
     Attempt attempt = co_await tryOpen(server);
-    W.Servers.closed(id);
+    W.Servers.requestEnded(id);
     F.Tried.push_back(id);
-    bool isOpen = attempt.End == AttemptEnd::Served && !attempt.Answer;
+    bool isOpen = attempt.End == AttemptOutcome::Served && !attempt.Answer;
     // A move may have taken the run away before it answered.
-    if (attempt.End == AttemptEnd::Broken)
+    if (attempt.End == AttemptOutcome::Incomplete)
       isOpen = co_await recover();
     if (isOpen) {
       noteOutcome(F, id, attempt);
@@ -150,10 +150,11 @@
     noteOutcome(F, id, attempt);
     F.stop();
     const bool hasServer =
-        W.Placing.forGeneration(W.now(), *F.TheService, demand, F.Tried)
+        W.Placing.chooseForGeneration(W.now(), *F.TheService, demand, F.Tried)
             .Chosen != nullptr;
     const Step step = stepAfter(F, attempt, hasServer);
-    if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
+    if (attempt.End == AttemptOutcome::Incomplete ||
+        attempt.End == AttemptOutcome::Failed)
       F.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
@@ -182,7 +183,7 @@
   else
     LongestPause = std::max(LongestPause, now - LastEvent);
   LastEvent = now;
-  W.Runs.progress(Run->Id, Run->madeTokens());
+  W.Runs.updateProgress(Run->Id, Run->madeTokens());
   if (!IsHeadSent)
     tellIfLeaving();
   if (!IsHeadSent) {
@@ -204,7 +205,7 @@
       }
       continue;
     }
-    const bool isEnd = ok(piece) && !Run->Events.hasRest();
+    const bool isEnd = ok(piece) && !Run->Events.hasPartialEvent();
     if (isEnd) {
       if (!IsHeadSent)
         co_await X.beginBody(Head.Status, Head.Headers);
@@ -235,7 +236,7 @@
   }
   if (F.isOver() || !Run->Next)
     co_return false;
-  Continuation from = *Run->Next;
+  ResumePoint from = *Run->Next;
   Run->Next.reset();
   const std::string source = Run->Server;
   const Server *server = W.Servers.find(Run->NextServer);
@@ -252,12 +253,12 @@
 }
 
 asio::awaitable<bool> StreamForwarder::continueAt(Server server,
-                                                  Continuation from) {
+                                                  ResumePoint from) {
   F.stop();
   F.Connection = co_await connectTo(F, server);
   if (!F.Connection || F.isOver())
     co_return false;
-  Run->Events.restart();
+  Run->Events.discardPartialEvent();
   from.LastEventId = Run->Events.lastId().value_or(0);
   sendTo(F, server, from);
   const auto head = co_await readOwnHead(F);
@@ -283,7 +284,7 @@
                                {"route", F.TheRoute->Name},
                                {"server", Run->Server},
                                {"how", how},
-                               {"events", Run->Events.events()},
+                               {"events", Run->Events.eventCount()},
                                {"longest_pause_ms", base::toMs(LongestPause)},
                                {"ms", base::toMs(W.now() - F.ReceivedAt)}});
   countStream(W.Metrics, {F.TheRoute->Name, how, FirstEvent, LongestPause,
--- a/src/gateway/world.h
+++ b/src/gateway/world.h
@@ -3,15 +3,15 @@
 #pragma once
 
 #include "drumlanding/base/metrics.h"
-#include "drumlanding/gateway/dialect.h"
 #include "drumlanding/gateway/directory.h"
 #include "drumlanding/gateway/event-log.h"
-#include "drumlanding/gateway/ledger.h"
 #include "drumlanding/gateway/peers.h"
 #include "drumlanding/gateway/placement.h"
+#include "drumlanding/gateway/protocol-codec.h"
 #include "drumlanding/gateway/retry-budget.h"
 #include "drumlanding/gateway/routes.h"
-#include "drumlanding/gateway/source.h"
+#include "drumlanding/gateway/run-table.h"
+#include "drumlanding/gateway/store-reader.h"
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -41,7 +41,7 @@
   /// A config is in force this long after the store has taken it.
   base::milliseconds ConfigApply{2'000};
   /// How often servers renew their entries in the store.
-  base::milliseconds Renewal = Directory::DefaultRenewal;
+  base::milliseconds Renewal = Directory::DefaultRenewalInterval;
   /// From the order to stop until the process is killed.
   base::milliseconds Grace{8'000};
 };
@@ -51,7 +51,7 @@
   static constexpr base::milliseconds EndMargin{250};
 
   World(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, Dialect dialect, Source source)
+        GatewaySettings settings, ProtocolCodec dialect, StoreReader source)
       : Io(io), Clock(clock), Settings(std::move(settings)),
         Words(std::move(dialect)), From(std::move(source)), Log(Settings.Name),
         Servers(Settings.Renewal), Placing(Servers, Runs, Settings.Zone),
@@ -62,12 +62,12 @@
   asio::io_context &Io;
   const base::Clock &Clock;
   GatewaySettings Settings;
-  Dialect Words;
-  Source From;
+  ProtocolCodec Words;
+  StoreReader From;
   EventLog Log;
   base::Metrics Metrics;
   Directory Servers;
-  Ledger Runs;
+  RunTable Runs;
   Placement Placing;
   RetryBudget Budget;
   base::Random Random;
@@ -105,7 +105,7 @@
   base::Instant now() const { return Clock.now().Steady; }
   /// True while the store's list reaches this gateway without help of others.
   bool hasStoreContact() const {
-    return WatchesList && now() - ListReadAt < ListIsOld;
+    return WatchesList && now() - ListReadAt < MaxListAge;
   }
   bool isReady() const { return Routes && !Servers.isEmpty() && !IsLeaving; }
   /// When a gateway that was told to stop ends, whatever is still open.
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -42,7 +42,7 @@
 } // namespace
 
 Sidecar::Sidecar(asio::io_context &io, SidecarSettings settings,
-                 gateway::Dialect dialect)
+                 gateway::ProtocolCodec dialect)
     : Io(io), Settings(std::move(settings)), Words(std::move(dialect)),
       Log(Settings.Name),
       Gateways(Clock.now().Steady, {Settings.Name, Settings.Listen,
@@ -50,16 +50,16 @@
 
 base::Result<std::unique_ptr<Sidecar>>
 Sidecar::start(asio::io_context &io, SidecarSettings settings,
-               gateway::Dialect dialect) {
+               gateway::ProtocolCodec dialect) {
   std::unique_ptr<Sidecar> sidecar(
       new Sidecar(io, std::move(settings), std::move(dialect)));
   Sidecar &s = *sidecar;
-  auto datagrams = gateway::Datagrams::open(io, s.Settings.Listen);
+  auto datagrams = gateway::DatagramSocket::open(io, s.Settings.Listen);
   if (!ok(datagrams))
     return error(datagrams);
   s.Socket = std::move(value(datagrams));
   const auto take = [&s](std::string_view bytes,
-                         const gateway::Datagrams::Sender &from) {
+                         const gateway::DatagramSocket::Sender &from) {
     s.receive(bytes, from);
   };
   asio::co_spawn(io, s.Socket->receive(take), asio::detached);
@@ -115,15 +115,16 @@
   const std::shared_ptr<http::Connection> connection = value(opened);
   for (int i = 0;; ++i) {
     if (EngineId.empty() && i % ReportsPerHealth == 0) {
-      const auto health = co_await ask(*connection, Words.ToHealth());
+      const auto health =
+          co_await ask(*connection, Words.EncodeHealthRequest());
       if (!ok(health))
         co_return;
-      meet(Words.ReadHealth(value(health)));
+      meet(Words.DecodeHealth(value(health)));
     }
-    const auto answer = co_await ask(*connection, Words.ToReport());
+    const auto answer = co_await ask(*connection, Words.EncodeReportRequest());
     if (!ok(answer))
       co_return;
-    const auto report = Words.ReadReport(value(answer));
+    const auto report = Words.DecodeReport(value(answer));
     if (ok(report))
       take(value(report));
     co_await sleepFor(AskEvery);
@@ -172,7 +173,7 @@
   notice.set_service(Settings.Service);
   notice.set_zone(Settings.Zone);
   notice.set_is_leaving(Last.IsLeaving);
-  notice.set_born_ms(static_cast<std::uint64_t>(Last.BornAt.count()));
+  notice.set_born_ms(static_cast<std::uint64_t>(Last.StartedAt.count()));
   if (Last.LeavesIn)
     notice.set_leaves_in_ms(static_cast<std::uint64_t>(Last.LeavesIn->count()));
   return message.SerializeAsString();
@@ -185,21 +186,22 @@
 }
 
 void Sidecar::receive(std::string_view bytes,
-                      const gateway::Datagrams::Sender &from) {
+                      const gateway::DatagramSocket::Sender &from) {
   wire::Gossip message;
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
       message.has_notice())
     return;
-  Gateways.heard(Clock.now().Steady, message);
+  Gateways.recordMessage(Clock.now().Steady, message);
   // Without an answer from the engine there is nothing to tell.
   if (message.asks_notice() && !EngineId.empty())
-    Socket->answer(from, notice());
+    Socket->reply(from, notice());
 }
 
 /// Asks the gateways in turn, so that each is asked seldom.
 asio::awaitable<void> Sidecar::keepContact() {
   for (;;) {
-    const std::vector<base::Endpoint> due = Gateways.due(Clock.now().Steady);
+    const std::vector<base::Endpoint> due =
+        Gateways.sendTargets(Clock.now().Steady);
     std::vector<base::Endpoint> to;
     for (std::size_t i = 0; i < std::min(due.size(), MostContacts); ++i)
       to.push_back(due[NextContact++ % due.size()]);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -4,10 +4,10 @@
 
 #include "drumlanding/base/result.h"
 #include "drumlanding/base/settings.h"
-#include "drumlanding/gateway/datagrams.h"
-#include "drumlanding/gateway/dialect.h"
+#include "drumlanding/gateway/datagram-socket.h"
 #include "drumlanding/gateway/event-log.h"
 #include "drumlanding/gateway/peers.h"
+#include "drumlanding/gateway/protocol-codec.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -30,18 +30,19 @@
 
 class Sidecar {
 public:
-  static base::Result<std::unique_ptr<Sidecar>> start(asio::io_context &io,
-                                                      SidecarSettings settings,
-                                                      gateway::Dialect dialect);
+  static base::Result<std::unique_ptr<Sidecar>>
+  start(asio::io_context &io, SidecarSettings settings,
+        gateway::ProtocolCodec dialect);
 
 private:
   Sidecar(asio::io_context &io, SidecarSettings settings,
-          gateway::Dialect dialect);
+          gateway::ProtocolCodec dialect);
   asio::awaitable<void> watchEngine();
   asio::awaitable<void> askUntilBroken();
   asio::awaitable<base::Result<http::Response>>
   ask(http::Connection &connection, http::Request request);
-  void receive(std::string_view bytes, const gateway::Datagrams::Sender &from);
+  void receive(std::string_view bytes,
+               const gateway::DatagramSocket::Sender &from);
   std::string notice() const;
   asio::awaitable<void> keepContact();
   void meet(const std::string &id);
@@ -51,11 +52,11 @@
 
   asio::io_context &Io;
   SidecarSettings Settings;
-  gateway::Dialect Words;
+  gateway::ProtocolCodec Words;
   gateway::EventLog Log;
   base::SystemClock Clock;
   gateway::Peers Gateways;
-  std::unique_ptr<gateway::Datagrams> Socket;
+  std::unique_ptr<gateway::DatagramSocket> Socket;
   gateway::ServerReport Last;
   /// The engine's id; empty while it does not answer or is not well.
   std::string EngineId;
--- a/support/mutants.sh
+++ b/support/mutants.sh
@@ -25,16 +25,16 @@
 older-config-taken|src/gateway/world.cc|s/version <= Routes->config\(\)\.Version/version == Routes->config().Version/
 leaving-server-chosen|src/gateway/directory.cc|s/if \(server\.IsLeaving \|\| server\.Listed\.Service != service\)/if (server.Listed.Service != service)/
 silent-watch-kept|platform/store.cc|s/wait \+ WatchSlack\)/wait + 100 * WatchSlack)/
-early-end-looks-whole|src/gateway/stream-forwarder.cc|s/const bool isEnd = ok\(piece\) && !Run->Events\.hasRest\(\);/const bool isEnd = !Run->IsMoving;/
+early-end-looks-whole|src/gateway/stream-forwarder.cc|s/const bool isEnd = ok\(piece\) && !Run->Events\.hasPartialEvent\(\);/const bool isEnd = !Run->IsMoving;/
 sidecar-notice-lost|src/gateway/gossip.cc|s/  W\.Servers\.applyNotice\(now, fromWire\(message\.notice\(\)\)\);\n//
 unreadable-entry-hides-others|platform/source.cc|s/    changes\.Changes\.push_back\(std::move\(change\)\);/    if (!change.Problem.empty())\n      return base::invalid("servers", change.Problem);\n    changes.Changes.push_back(std::move(change));/
 life-confused|src/gateway/directory.cc|s/return a\.count\(\) > 0 && b\.count\(\) > 0 && a < b;/return false \&\& a < b;/
 own-loss-is-outage|src/gateway/gossip.cc|s/if \(message\.watches_list\(\)\)\n/if (false)\n/
-no-grace-after-outage|src/gateway/directory.cc|s/return now < GraceUntil \|\| now - StoreContactAt >= LapseTime;/return false \&\& now < GraceUntil;/
+no-grace-after-outage|src/gateway/directory.cc|s/return now < GraceUntil \|\| now - StoreContactAt >= ExpiryTime;/return false \&\& now < GraceUntil;/
 older-change-taken|src/gateway/directory.cc|s/return revision != 0 && revision < server\.Revision;/return false \&\& revision < server.Revision;/
 retry-budget-ignored|src/gateway/retry-budget.cc|s/(size\(\)\) \+ 1 > allowed\))/size()) > 1e9 + allowed)/
 unknown-key-accepted|src/gateway/forwarder.cc|s/return plainAnswer\(401, "The key is missing or unknown\.\\n"\);/(void)0;/
-foreign-answer-passed|platform/dialect.cc|s/answer\.IsOwn = head\.header\(header::AttemptId\) == request\.AttemptId;/answer.IsOwn = true;/
+foreign-answer-passed|platform/dialect.cc|s/answer\.MatchesAttempt = head\.header\(header::AttemptId\) == request\.AttemptId;/answer.MatchesAttempt = true;/
 stop-waits-for-nothing|src/gateway/shell.cc|s/while \(W\.Open > 0 && W\.now\(\) < W\.stopAt\(\)\);/while (false);/
 LIST
 )
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -223,10 +223,10 @@
 
   static EngineTraits engine() {
     EngineTraits e;
-    e.MemoryTokens = 30'000;
+    e.KvCacheTokens = 30'000;
     e.BytesPerToken = 100;
     e.LinkMbps = 1'000;
-    e.CanMove = true;
+    e.CanMigrate = true;
     return e;
   }
 
@@ -248,9 +248,9 @@
     return *Servers.back();
   }
 
-  Source source() {
-    Source s;
-    s.ReadConfig = [this]() -> Source::Answer<ConfigText> {
+  StoreReader source() {
+    StoreReader s;
+    s.ReadConfig = [this]() -> StoreReader::AsyncResult<ConfigText> {
       if (OnReadConfig)
         OnReadConfig();
       ConfigText text{1, HasConfig ? "config" : ""};
@@ -260,7 +260,7 @@
         WatchConfig ? WatchConfig : [](std::uint64_t, milliseconds) {
           return never<ConfigText>();
         };
-    s.ReadServers = [this]() -> Source::Answer<ServerChanges> {
+    s.ReadServers = [this]() -> StoreReader::AsyncResult<ServerChanges> {
       ServerChanges all;
       for (const auto &server : Servers)
         all.Changes.push_back({server->Id, server->listed()});
@@ -275,12 +275,12 @@
     return s;
   }
 
-  template <typename T> static Source::Answer<T> never() {
+  template <typename T> static StoreReader::AsyncResult<T> never() {
     co_await sleepFor(TestLimit);
     co_return base::Error{base::ErrorCode::TimedOut, "test", "never"};
   }
 
-  Source::Answer<ServerChanges> nextChanges() {
+  StoreReader::AsyncResult<ServerChanges> nextChanges() {
     while (Changes.empty())
       co_await sleepFor(Step);
     ServerChanges next;
@@ -369,7 +369,8 @@
   base::SystemClock Clock;
   Config Plan;
   bool HasConfig = true;
-  std::function<Source::Answer<ConfigText>(std::uint64_t, milliseconds)>
+  std::function<StoreReader::AsyncResult<ConfigText>(std::uint64_t,
+                                                     milliseconds)>
       WatchConfig;
   std::function<void()> OnReadConfig;
   std::vector<std::unique_ptr<TestServer>> Servers;
@@ -397,7 +398,8 @@
 /// asked some hundred times a second.
 TEST_F(ForwardingTest, ALostHistoryIsNoReasonToRush) {
   int reads = 0;
-  WatchConfig = [](std::uint64_t, milliseconds) -> Source::Answer<ConfigText> {
+  WatchConfig = [](std::uint64_t,
+                   milliseconds) -> StoreReader::AsyncResult<ConfigText> {
     co_return base::Error{base::ErrorCode::NotFound, "test", "history gone"};
   };
   OnReadConfig = [&] { ++reads; };
--- a/test/gateway-random-test.cc
+++ b/test/gateway-random-test.cc
@@ -10,12 +10,12 @@
 
 #include "drumlanding/gateway/attempt-policy.h"
 #include "drumlanding/gateway/directory.h"
-#include "drumlanding/gateway/ledger.h"
 #include "drumlanding/gateway/peers.h"
 #include "drumlanding/gateway/placement.h"
 #include "drumlanding/gateway/retry-budget.h"
-#include "drumlanding/gateway/source.h"
-#include "drumlanding/gateway/told-runs.h"
+#include "drumlanding/gateway/run-delta.h"
+#include "drumlanding/gateway/run-table.h"
+#include "drumlanding/gateway/store-reader.h"
 
 #include <array>
 #include <cstdio>
@@ -107,14 +107,14 @@
   std::string Address;
   std::uint64_t Incarnation;
   Directory Servers;
-  Ledger Runs;
+  RunTable Runs;
   Peers Others;
   Placement Placing;
   RetryBudget Retries;
   base::Instant StartedAt;
-  ToldRuns Told;
+  RunDeltaTracker Told;
   bool hasStoreContact(base::Instant now) const {
-    return WatchesList && now - ListReadAt < ListIsOld;
+    return WatchesList && now - ListReadAt < MaxListAge;
   }
 
   base::Instant ListFrom{};
@@ -134,18 +134,18 @@
 
 /// The outcome that a directory is told of for each end of an attempt but the
 /// one by another server.
-ServerOutcome outcomeOf(AttemptEnd end) {
+ServerOutcome outcomeOf(AttemptOutcome end) {
   switch (end) {
-  case AttemptEnd::Served:
+  case AttemptOutcome::Served:
     return ServerOutcome::Served;
-  case AttemptEnd::Failed:
+  case AttemptOutcome::Failed:
     return ServerOutcome::Failed;
-  case AttemptEnd::Broken:
-    return ServerOutcome::Broken;
-  case AttemptEnd::Unreachable:
+  case AttemptOutcome::Incomplete:
+    return ServerOutcome::Incomplete;
+  case AttemptOutcome::Unreachable:
     return ServerOutcome::Unreachable;
-  case AttemptEnd::NotRun:
-  case AttemptEnd::OtherServer:
+  case AttemptOutcome::NotRun:
+  case AttemptOutcome::WrongServer:
     break;
   }
   return ServerOutcome::Refused;
@@ -160,7 +160,7 @@
   base::Instant LeftAt{};
   /// The store's revision of its entry.
   std::uint64_t Revision = 0;
-  std::int64_t BornAt = 0;
+  std::int64_t StartedAt = 0;
 };
 
 class Model {
@@ -168,7 +168,7 @@
   Model() {
     Llm.Name = "llm";
     Llm.Engine = EngineTraits{};
-    Llm.Engine->MemoryTokens = 30'000;
+    Llm.Engine->KvCacheTokens = 30'000;
     for (int i = 0; i < GatewayCount; ++i)
       Cores.push_back(std::make_unique<Core>(Now, i, ++LastIncarnation));
     for (int i = 0; i < AddressCount; ++i)
@@ -264,7 +264,7 @@
     server = {};
     ++LastServer;
     server.Id = id.empty() ? "s" + std::to_string(LastServer) : std::move(id);
-    server.BornAt = LastServer;
+    server.StartedAt = LastServer;
     server.IsUp = true;
     server.IsListed = true;
     server.Revision = ++StoreRevision;
@@ -312,7 +312,7 @@
     l.Zone = address % 2 == 0 ? "a" : "b";
     l.State = server.IsLeaving ? ServerState::Leaving : ServerState::Ready;
     l.Revision = server.Revision;
-    l.BornAt = milliseconds(server.BornAt);
+    l.StartedAt = milliseconds(server.StartedAt);
     return l;
   }
 
@@ -339,11 +339,11 @@
         mayRepeat ? RequestKind::Idempotent : RequestKind::NonIdempotent;
     state.MaxSends = MaxSends;
     int runs = 0;
-    core.Retries.firstSend(Now, "llm");
+    core.Retries.recordFirstSend(Now, "llm");
     Firsts.push_back(Now);
     for (int i = 0;; ++i) {
       const Choice choice =
-          core.Placing.forGeneration(Now, Llm, {100, 10}, tried);
+          core.Placing.chooseForGeneration(Now, Llm, {100, 10}, tried);
       if (!choice.Chosen)
         return;
       const Server server = *choice.Chosen;
@@ -351,18 +351,19 @@
         Wrong += "a leaving server was chosen; ";
       checkLeft(core, server);
       tried.push_back(server.Listed.Id);
-      state.End = meet(server, outcome + i, runs);
-      const bool arrived = state.End != AttemptEnd::Unreachable;
+      state.Outcome = meet(server, outcome + i, runs);
+      const bool arrived = state.Outcome != AttemptOutcome::Unreachable;
       state.Arrivals += arrived ? 1 : 0;
       if (arrived && state.Arrivals > 1)
         Repeats.push_back(Now);
-      state.Sends += arrived && state.End != AttemptEnd::OtherServer ? 1 : 0;
-      noteEnd(core, server.Listed.Id, state.End);
+      state.Sends +=
+          arrived && state.Outcome != AttemptOutcome::WrongServer ? 1 : 0;
+      noteEnd(core, server.Listed.Id, state.Outcome);
       const Step step = nextStep(state, [&] {
-        return core.Retries.tryRetry(Now, "llm", core.Others.gateways(Now));
+        return core.Retries.tryRetry(Now, "llm", core.Others.gatewayCount(Now));
       });
-      state.MayHaveRun |=
-          state.End == AttemptEnd::Broken || state.End == AttemptEnd::Failed;
+      state.MayHaveRun |= state.Outcome == AttemptOutcome::Incomplete ||
+                          state.Outcome == AttemptOutcome::Failed;
       if (step == Step::TryAnother)
         continue;
       checkRequest(step, runs, mayRepeat, state.Sends);
@@ -371,32 +372,33 @@
   }
 
   /// What becomes of a request at a server; counts a run.
-  AttemptEnd meet(const Server &server, int outcome, int &runs) {
+  AttemptOutcome meet(const Server &server, int outcome, int &runs) {
     const RealServer &there = Real[addressOf(server)];
     if (!there.IsUp)
-      return AttemptEnd::Unreachable;
+      return AttemptOutcome::Unreachable;
     if (there.Id != server.Listed.Id)
-      return AttemptEnd::OtherServer;
+      return AttemptOutcome::WrongServer;
     switch (outcome % 5) {
     case 0:
       ++runs;
-      return AttemptEnd::Failed;
+      return AttemptOutcome::Failed;
     case 1:
-      return AttemptEnd::NotRun;
+      return AttemptOutcome::NotRun;
     case 2:
       ++runs;
-      return AttemptEnd::Broken;
+      return AttemptOutcome::Incomplete;
     default:
       ++runs;
-      return AttemptEnd::Served;
+      return AttemptOutcome::Served;
     }
   }
 
-  void noteEnd(Core &core, const std::string &server, AttemptEnd end) const {
-    if (end == AttemptEnd::OtherServer)
+  void noteEnd(Core &core, const std::string &server,
+               AttemptOutcome end) const {
+    if (end == AttemptOutcome::WrongServer)
       core.Servers.markReplaced(Now, server);
     else
-      core.Servers.note(Now, server, outcomeOf(end));
+      core.Servers.recordOutcome(Now, server, outcomeOf(end));
   }
 
   void checkRequest(Step step, int runs, bool mayRepeat, int sends) {
@@ -410,21 +412,22 @@
 
   void beginRun(int gateway) {
     Core &core = *Cores[static_cast<std::size_t>(gateway)];
-    const Choice choice = core.Placing.forGeneration(Now, Llm, {100, 10}, {});
+    const Choice choice =
+        core.Placing.chooseForGeneration(Now, Llm, {100, 10}, {});
     if (!choice.Chosen)
       return;
-    LedgerRun run;
+    TrackedRun run;
     run.Id = ++LastRun;
     run.Server = choice.Chosen->Listed.Id;
     run.PromptTokens = 100;
-    core.Runs.begin(run);
+    core.Runs.upsert(run);
   }
 
   void endRun(int gateway) {
     Core &core = *Cores[static_cast<std::size_t>(gateway)];
-    const std::vector<LedgerRun> runs = core.Runs.ownRuns();
+    const std::vector<TrackedRun> runs = core.Runs.ownRuns();
     if (!runs.empty())
-      core.Runs.end(runs.front().Id);
+      core.Runs.remove(runs.front().Id);
   }
 
   void restart(int gateway) {
@@ -470,10 +473,11 @@
     noteNews(core, storeList());
     core.ListRevision = StoreRevision;
     const bool hasFailed = core.ListReadFailedAt > core.ListReadAt;
-    core.Servers.noteStoreContact(Now, hasFailed ? core.ListReadFailedAt : Now);
+    core.Servers.recordStoreContact(Now,
+                                    hasFailed ? core.ListReadFailedAt : Now);
     core.ListFrom = Now;
     core.ListReadAt = Now;
-    core.Servers.replaceAll(Now, storeList());
+    core.Servers.applySnapshot(Now, storeList());
   }
 
   /// What a watch would tell the others.
@@ -504,7 +508,7 @@
     const Core *from = coreAt(peer->Address);
     ServerList list = from->Servers.list();
     list.Revision = from->ListRevision;
-    core.Servers.replaceAll(Now, list, Evidence::Gateway);
+    core.Servers.applySnapshot(Now, list, Evidence::Gateway);
     core.ListRevision = std::max(core.ListRevision, list.Revision);
     core.ListFrom = std::max(core.ListFrom, from->ListFrom);
   }
@@ -517,20 +521,20 @@
     message.set_list_digest(core.Servers.digest());
     const bool hasContact = core.hasStoreContact(Now);
     message.set_steady_ms(static_cast<std::uint64_t>(
-        base::toMs(Now - core.Servers.steadySince())));
+        base::toMs(Now - core.Servers.storeStableSince())));
     message.set_watches_list(hasContact);
     message.set_list_age_ms(static_cast<std::uint64_t>(
         base::toMs(Now - (hasContact ? core.ListReadAt : core.ListFrom))));
-    for (const ServerLife &life : core.Servers.leaving(Now)) {
+    for (const ServerInstance &life : core.Servers.leaving(Now)) {
       wire::ServerLife &out = *message.add_leaving_servers();
       out.set_id(life.Id);
-      out.set_born_ms(static_cast<std::uint64_t>(life.BornAt.count()));
+      out.set_born_ms(static_cast<std::uint64_t>(life.StartedAt.count()));
     }
-    const std::vector<LedgerRun> runs = core.Runs.ownRuns();
-    const RunNews news = core.Told.newsOf(runs);
+    const std::vector<TrackedRun> runs = core.Runs.ownRuns();
+    const RunDelta news = core.Told.nextDelta(runs);
     const bool isWhole = Ticks % (WholeEvery / Tick) == 0;
     message.set_is_news(!isWhole);
-    for (const LedgerRun &run : isWhole ? runs : news.Changed)
+    for (const TrackedRun &run : isWhole ? runs : news.Changed)
       *message.add_runs() = toWire(run);
     for (const RunId id : news.Ended)
       message.add_ended_runs(id);
@@ -539,7 +543,7 @@
         *message.add_changed_servers() = toWire(*change.Listed);
       else
         *message.add_gone_servers() =
-            toWire(GoneServer{change.Id, change.Revision});
+            toWire(RemovedServer{change.Id, change.Revision});
     }
     core.ListNews.clear();
     return message;
@@ -551,7 +555,7 @@
         message.ended_runs().empty() && message.changed_servers().empty() &&
         message.gone_servers().empty())
       return;
-    for (const base::Endpoint &to : core.Others.due(Now)) {
+    for (const base::Endpoint &to : core.Others.sendTargets(Now)) {
       Core *other = coreAt(to);
       if (!other || other->IsIsolated || core.IsIsolated)
         continue;
@@ -561,22 +565,23 @@
   }
 
   void receive(Core &core, const wire::Gossip &message) {
-    if (core.Others.heard(Now, message) == Peers::Heard::Nothing)
+    if (core.Others.recordMessage(Now, message) ==
+        Peers::ReceiveResult::Ignored)
       return;
-    std::vector<LedgerRun> runs;
+    std::vector<TrackedRun> runs;
     for (const wire::Run &run : message.runs())
       runs.push_back(fromWire(run));
     if (message.is_news())
-      core.Runs.takePeerNews(
+      core.Runs.applyPeerDelta(
           Now, message.address(), runs,
           {message.ended_runs().begin(), message.ended_runs().end()});
     else
-      core.Runs.takePeer(Now, message.address(), std::move(runs));
+      core.Runs.applyPeerSnapshot(Now, message.address(), std::move(runs));
     for (const wire::ServerLife &life : message.leaving_servers())
       core.Servers.markLeaving(Now, {life.id(), milliseconds(life.born_ms())});
     if (message.watches_list())
-      core.Servers.noteStoreContact(Now - milliseconds(message.list_age_ms()),
-                                    Now - milliseconds(message.steady_ms()));
+      core.Servers.recordStoreContact(Now - milliseconds(message.list_age_ms()),
+                                      Now - milliseconds(message.steady_ms()));
     for (const ListedServer &listed : fromWire(message.changed_servers()))
       core.Servers.put(Now, listed, Evidence::Gateway);
     for (const wire::GoneServer &gone : message.gone_servers())
@@ -596,7 +601,8 @@
     dropOld(Firsts);
     dropOld(Repeats);
     const double allowed =
-        Budget.Part * static_cast<double>(Firsts.size()) + Budget.Extra;
+        Budget.RetryRatio * static_cast<double>(Firsts.size()) +
+        Budget.ExtraRetries;
     if (static_cast<double>(Repeats.size()) > allowed)
       Wrong += "more repeats than the budget; ";
   }
@@ -609,7 +615,7 @@
       const bool isThere = server.IsUp && server.IsListed && !server.IsLeaving;
       // One that fails is avoided for up to eight seconds.
       const Server *known = core.Servers.find(server.Id);
-      const bool isAvoided = known && Now < known->AvoidUntil;
+      const bool isAvoided = known && Now < known->EjectedUntil;
       if (isThere && !isAvoided && !usable.contains(server.Id))
         Wrong += core.Address + " does not use " + server.Id + "; ";
       usable.erase(server.Id);
@@ -623,7 +629,7 @@
   void checkRuns(const Core &core) {
     std::map<std::string, int> running;
     for (const auto &other : Cores)
-      for (const LedgerRun &run : other->Runs.ownRuns())
+      for (const TrackedRun &run : other->Runs.ownRuns())
         ++running[run.Server];
     for (const auto &[server, n] : running)
       if (core.Runs.loads()[server].Running != n)
--- a/test/gateway-test.cc
+++ b/test/gateway-test.cc
@@ -3,12 +3,12 @@
 #include "drumlanding/gateway/directory.h"
 #include "drumlanding/gateway/event-log.h"
 #include "drumlanding/gateway/event-splitter.h"
-#include "drumlanding/gateway/ledger.h"
-#include "drumlanding/gateway/move-plan.h"
+#include "drumlanding/gateway/migration-order.h"
 #include "drumlanding/gateway/peers.h"
 #include "drumlanding/gateway/placement.h"
 #include "drumlanding/gateway/retry-budget.h"
 #include "drumlanding/gateway/routes.h"
+#include "drumlanding/gateway/run-table.h"
 #include "gateway.pb.h"
 
 #include <fcntl.h>
@@ -44,14 +44,14 @@
   return s;
 }
 
-LedgerRun run(RunId id, std::string on, std::uint32_t prompt,
-              std::uint32_t most = 2000) {
-  LedgerRun r;
+TrackedRun run(RunId id, std::string on, std::uint32_t prompt,
+               std::uint32_t most = 2000) {
+  TrackedRun r;
   r.Id = id;
   r.Server = std::move(on);
   r.PromptTokens = prompt;
   r.ExpectedTokens = most / 2;
-  r.MostTokens = most;
+  r.MaxTokens = most;
   return r;
 }
 
@@ -101,26 +101,26 @@
 void keepStoreContactUntil(Directory &d, base::Instant until) {
   constexpr seconds While{12};
   for (base::Instant t = until - While; t <= until; t += milliseconds(500))
-    d.noteStoreContact(t, until - While);
+    d.recordStoreContact(t, until - While);
 }
 
 TEST(Directory, LapsedEntriesHaveTimeToComeBackAfterAnOutage) {
   Directory d;
-  d.noteStoreContact(Start, Start);
+  d.recordStoreContact(Start, Start);
   d.put(Start, server("s1"));
   d.put(Start, server("s2"));
   d.remove(Start + seconds(4), {"s1"});
   d.tick(Start + seconds(4));
   EXPECT_EQ(d.usable(Start + seconds(4), "llm").size(), 2U);
   const base::Instant back = Start + seconds(5);
-  d.noteStoreContact(back, back);
-  d.replaceAll(back, {});
+  d.recordStoreContact(back, back);
+  d.applySnapshot(back, {});
   EXPECT_EQ(d.usable(back, "llm").size(), 2U);
   d.put(back + seconds(1), server("s1"));
-  d.noteStoreContact(back + seconds(2), back);
-  d.tick(back + Directory::GraceAfterReturn - milliseconds(1));
+  d.recordStoreContact(back + seconds(2), back);
+  d.tick(back + Directory::OutageGrace - milliseconds(1));
   EXPECT_EQ(d.usable(back + seconds(2), "llm").size(), 2U);
-  d.tick(back + Directory::GraceAfterReturn + milliseconds(1));
+  d.tick(back + Directory::OutageGrace + milliseconds(1));
   const auto left = d.usable(back + seconds(3), "llm");
   ASSERT_EQ(left.size(), 1U);
   EXPECT_EQ(left[0]->Listed.Id, "s1");
@@ -162,13 +162,13 @@
   keepStoreContactUntil(d, Start);
   d.put(Start, server("s1"));
   const base::Instant back = Start + seconds(8);
-  d.noteStoreContact(back, back);
+  d.recordStoreContact(back, back);
   d.remove(back, {"s1"});
   EXPECT_EQ(d.usable(back, "llm").size(), 1U);
-  d.noteStoreContact(back + milliseconds(100), Start - seconds(9));
+  d.recordStoreContact(back + milliseconds(100), Start - seconds(9));
   d.tick(back + milliseconds(100));
   EXPECT_TRUE(d.usable(back + milliseconds(100), "llm").empty());
-  EXPECT_EQ(d.steadySince(), Start - seconds(9));
+  EXPECT_EQ(d.storeStableSince(), Start - seconds(9));
 }
 
 /// Guards against a grace that begins when the store is heard again, up to a
@@ -179,11 +179,11 @@
   d.put(Start, server("s1"));
   const base::Instant failed = Start + seconds(4);
   const base::Instant back = failed + milliseconds(900);
-  d.noteStoreContact(back, failed);
+  d.recordStoreContact(back, failed);
   d.remove(back, {"s1"});
-  d.tick(failed + Directory::GraceAfterReturn - milliseconds(1));
+  d.tick(failed + Directory::OutageGrace - milliseconds(1));
   EXPECT_EQ(d.usable(back, "llm").size(), 1U);
-  d.tick(failed + Directory::GraceAfterReturn);
+  d.tick(failed + Directory::OutageGrace);
   EXPECT_TRUE(d.usable(back, "llm").empty());
 }
 
@@ -191,14 +191,16 @@
 TEST(Directory, AShortSilenceOfTheStoreIsNoOutage) {
   Directory d(milliseconds(1'000));
   int outages = 0;
-  d.OnOutageOver = [&](base::Duration) { ++outages; };
+  d.OnOutageEnd = [&](base::Duration) { ++outages; };
   keepStoreContactUntil(d, Start);
   d.put(Start, server("s1"));
-  d.noteStoreContact(Start + milliseconds(1'990), Start + milliseconds(1'990));
+  d.recordStoreContact(Start + milliseconds(1'990),
+                       Start + milliseconds(1'990));
   d.remove(Start + milliseconds(1'990), {"s1"});
   EXPECT_TRUE(d.usable(Start + milliseconds(1'990), "llm").empty());
   EXPECT_EQ(outages, 0);
-  d.noteStoreContact(Start + milliseconds(4'000), Start + milliseconds(4'000));
+  d.recordStoreContact(Start + milliseconds(4'000),
+                       Start + milliseconds(4'000));
   EXPECT_EQ(outages, 1);
 }
 
@@ -257,7 +259,7 @@
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
-  d.replaceAll(Start, {0, {}, {}}, Evidence::Gateway);
+  d.applySnapshot(Start, {0, {}, {}}, Evidence::Gateway);
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
 }
 
@@ -280,20 +282,20 @@
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
   d.put(Start, listedAt("s2", 20));
-  d.replaceAll(Start, {19, {listedAt("s1", 10)}, {}}, Evidence::Gateway);
+  d.applySnapshot(Start, {19, {listedAt("s1", 10)}, {}}, Evidence::Gateway);
   EXPECT_EQ(d.usable(Start, "llm").size(), 2U);
   d.tick(Start + milliseconds(900));
   EXPECT_EQ(d.usable(Start + milliseconds(900), "llm").size(), 2U);
-  d.replaceAll(Start + milliseconds(950), {20, {listedAt("s1", 10)}, {}},
-               Evidence::Gateway);
+  d.applySnapshot(Start + milliseconds(950), {20, {listedAt("s1", 10)}, {}},
+                  Evidence::Gateway);
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
   // It lists itself again: it never left.
   d.put(Start + seconds(1), listedAt("s2", 21));
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 2U);
   EXPECT_TRUE(d.leaving(Start + seconds(1)).empty());
   // What another gateway knows to have gone is in its list.
-  d.replaceAll(Start + seconds(1), {20, {listedAt("s1", 10)}, {{"s2", 22}}},
-               Evidence::Gateway);
+  d.applySnapshot(Start + seconds(1), {20, {listedAt("s1", 10)}, {{"s2", 22}}},
+                  Evidence::Gateway);
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
 }
 
@@ -307,13 +309,13 @@
   d.put(Start + seconds(1), s);
   EXPECT_TRUE(d.usable(Start + seconds(1), "llm").empty());
   // Other gateways are told apart from the list.
-  EXPECT_EQ(d.leaving(Start), std::vector<ServerLife>{{"s1"}});
+  EXPECT_EQ(d.leaving(Start), std::vector<ServerInstance>{{"s1"}});
   EXPECT_TRUE(d.leaving(Start + seconds(6)).empty());
 }
 
 ListedServer bornAt(std::int64_t ms, ServerState state = ServerState::Ready) {
   ListedServer listed = server("s1");
-  listed.BornAt = milliseconds(ms);
+  listed.StartedAt = milliseconds(ms);
   listed.State = state;
   return listed;
 }
@@ -323,16 +325,16 @@
 TEST(Directory, AServerThatStartsAgainUnderItsIdIsNew) {
   Directory d;
   d.put(Start, bornAt(1'000, ServerState::Leaving));
-  d.note(Start, "s1", ServerOutcome::Broken);
-  d.opened("s1");
+  d.recordOutcome(Start, "s1", ServerOutcome::Incomplete);
+  d.requestStarted("s1");
   EXPECT_TRUE(d.usable(Start, "llm").empty());
   const std::uint64_t before = d.digest();
   EXPECT_FALSE(d.isListedAs(bornAt(2'000)));
   d.put(Start, bornAt(2'000));
   ASSERT_EQ(d.usable(Start, "llm").size(), 1U);
   EXPECT_NE(d.digest(), before);
-  EXPECT_TRUE(d.avoided(Start).empty());
-  EXPECT_EQ(d.find("s1")->Open, 1);
+  EXPECT_TRUE(d.ejected(Start).empty());
+  EXPECT_EQ(d.find("s1")->OpenRequests, 1);
   // It can leave again.
   int left = 0;
   d.OnLeaving = [&](const Server &) { ++left; };
@@ -347,22 +349,22 @@
   d.markLeaving(Start, {"s1", milliseconds(1'000)});
   ServerNotice earlier{bornAt(1'000), true, milliseconds(500)};
   d.applyNotice(Start, earlier);
-  d.applyAvoided(Start, {"s1", 3, seconds(1), milliseconds(1'000)});
+  d.applyEjection(Start, {"s1", 3, seconds(1), milliseconds(1'000)});
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
-  EXPECT_TRUE(d.avoided(Start).empty());
-  EXPECT_EQ(d.find("s1")->Listed.BornAt, milliseconds(2'000));
+  EXPECT_TRUE(d.ejected(Start).empty());
+  EXPECT_EQ(d.find("s1")->Listed.StartedAt, milliseconds(2'000));
   // A later life may be heard of from the process beside it first.
   ServerNotice later{bornAt(3'000), true, milliseconds(500)};
   d.applyNotice(Start, later);
   EXPECT_TRUE(d.usable(Start, "llm").empty());
-  EXPECT_EQ(d.find("s1")->GoneAt, Start + milliseconds(500));
+  EXPECT_EQ(d.find("s1")->ShutdownAt, Start + milliseconds(500));
   d.put(Start, bornAt(2'000));
   EXPECT_TRUE(d.usable(Start, "llm").empty());
 }
 
 ServerNotice notice(std::string id, std::uint16_t port) {
   ServerNotice n;
-  n.Seen = server(std::move(id), "llm", "a", port);
+  n.Entry = server(std::move(id), "llm", "a", port);
   return n;
 }
 
@@ -377,11 +379,11 @@
   EXPECT_FALSE(d.find("s1")->IsLeaving);
   EXPECT_TRUE(d.find("s2")->IsLeaving);
   EXPECT_FALSE(d.find("s2")->IsPlannedLeave);
-  EXPECT_EQ(d.find("s2")->GoneAt, Start + milliseconds(1'700));
+  EXPECT_EQ(d.find("s2")->ShutdownAt, Start + milliseconds(1'700));
   // A repeated notice does not put it off.
   d.applyNotice(Start + seconds(1), n);
-  EXPECT_EQ(d.find("s2")->GoneAt, Start + milliseconds(1'700));
-  EXPECT_EQ(d.leaving(Start + seconds(1)), std::vector<ServerLife>{{"s2"}});
+  EXPECT_EQ(d.find("s2")->ShutdownAt, Start + milliseconds(1'700));
+  EXPECT_EQ(d.leaving(Start + seconds(1)), std::vector<ServerInstance>{{"s2"}});
   // What was told does not change what the list says.
   EXPECT_EQ(d.list().Servers[1].State, ServerState::Ready);
 }
@@ -401,7 +403,7 @@
   // The list does not hold it yet: others are not told of it, and reading the
   // list does not take it away (it would never come back).
   EXPECT_EQ(d.list().Servers.size(), 1U);
-  d.replaceAll(Start + seconds(1), {0, {server("s1", "llm", "a", 1)}, {}});
+  d.applySnapshot(Start + seconds(1), {0, {server("s1", "llm", "a", 1)}, {}});
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
   d.put(Start + seconds(2), server("n1", "llm", "a", 1));
   EXPECT_EQ(d.list().Servers.size(), 2U);
@@ -437,12 +439,12 @@
   d.put(Start, server("s1"));
   d.put(Start, server("s2"));
   for (int i = 0; i < 20; ++i)
-    d.note(Start, "s1", ServerOutcome::Failed);
+    d.recordOutcome(Start, "s1", ServerOutcome::Failed);
   ASSERT_EQ(d.usable(Start, "llm").size(), 1U);
   EXPECT_EQ(d.usable(Start + seconds(3), "llm").size(), 2U);
   // When all fail, all are tried.
   for (int i = 0; i < 20; ++i)
-    d.note(Start, "s2", ServerOutcome::Failed);
+    d.recordOutcome(Start, "s2", ServerOutcome::Failed);
   EXPECT_EQ(d.usable(Start, "llm").size(), 2U);
 }
 
@@ -455,18 +457,18 @@
     d->put(Start, server("s1"));
     d->put(Start, server("s2"));
   }
-  here.note(Start, "s1", ServerOutcome::Broken);
-  ASSERT_EQ(here.avoided(Start).size(), 1U);
-  there.applyAvoided(Start, here.avoided(Start)[0]);
+  here.recordOutcome(Start, "s1", ServerOutcome::Incomplete);
+  ASSERT_EQ(here.ejected(Start).size(), 1U);
+  there.applyEjection(Start, here.ejected(Start)[0]);
   EXPECT_EQ(there.usable(Start, "llm").size(), 1U);
   EXPECT_EQ(there.usable(Start + seconds(2), "llm").size(), 2U);
   // Again: twice as long. What is known already does not put it off.
-  there.note(Start + seconds(2), "s1", ServerOutcome::Broken);
+  there.recordOutcome(Start + seconds(2), "s1", ServerOutcome::Incomplete);
   EXPECT_EQ(there.usable(Start + milliseconds(3'900), "llm").size(), 1U);
-  there.applyAvoided(Start + seconds(3), {"s1", 1, milliseconds(9'000)});
+  there.applyEjection(Start + seconds(3), {"s1", 1, milliseconds(9'000)});
   EXPECT_EQ(there.usable(Start + milliseconds(4'100), "llm").size(), 2U);
-  there.note(Start + seconds(5), "s1", ServerOutcome::Served);
-  EXPECT_EQ(there.find("s1")->BrokenAnswers, 0);
+  there.recordOutcome(Start + seconds(5), "s1", ServerOutcome::Served);
+  EXPECT_EQ(there.find("s1")->IncompleteResponses, 0);
 }
 
 TEST(Directory, DigestsTellListsApart) {
@@ -494,15 +496,16 @@
   d.put(Start, server("s2"));
   base::Random random(3);
   for (int i = 0; i < 1'000; ++i)
-    d.note(Start, "s1",
-           random.chance(0.14) ? ServerOutcome::Failed : ServerOutcome::Served);
+    d.recordOutcome(Start, "s1",
+                    random.chance(0.14) ? ServerOutcome::Failed
+                                        : ServerOutcome::Served);
   EXPECT_EQ(d.usable(Start, "llm").size(), 2U);
 }
 
 // Attempt policy.
 
 struct PolicyCase {
-  AttemptEnd End;
+  AttemptOutcome Outcome;
   RequestKind Kind;
   int Sends;
   int MaxSends;
@@ -511,45 +514,45 @@
 };
 
 TEST(AttemptPolicy, OnlyProofOrRepeatabilityAllowsAnotherServer) {
-  using E = AttemptEnd;
+  using E = AttemptOutcome;
   using K = RequestKind;
   const PolicyCase cases[] = {
       {E::Served, K::Stream, 1, 1, false, Step::Deliver},
       {E::Failed, K::NonIdempotent, 1, 3, false, Step::Deliver},
       {E::Failed, K::Idempotent, 1, 2, false, Step::TryAnother},
       {E::Failed, K::Idempotent, 2, 2, true, Step::Deliver},
-      {E::Broken, K::NonIdempotent, 1, 3, false, Step::GiveUpMayHaveRun},
-      {E::Broken, K::Stream, 1, 3, false, Step::GiveUpMayHaveRun},
-      {E::Broken, K::Idempotent, 1, 2, false, Step::TryAnother},
-      {E::Broken, K::Idempotent, 2, 2, true, Step::GiveUpMayHaveRun},
+      {E::Incomplete, K::NonIdempotent, 1, 3, false, Step::GiveUpMayHaveRun},
+      {E::Incomplete, K::Stream, 1, 3, false, Step::GiveUpMayHaveRun},
+      {E::Incomplete, K::Idempotent, 1, 2, false, Step::TryAnother},
+      {E::Incomplete, K::Idempotent, 2, 2, true, Step::GiveUpMayHaveRun},
       {E::NotRun, K::NonIdempotent, 1, 2, false, Step::TryAnother},
       {E::NotRun, K::NonIdempotent, 1, 1, false, Step::RefuseNotRun},
       {E::NotRun, K::Idempotent, 2, 2, true, Step::GiveUpMayHaveRun},
       {E::Unreachable, K::NonIdempotent, 0, 1, false, Step::TryAnother},
-      {E::OtherServer, K::Stream, 0, 1, false, Step::TryAnother},
+      {E::WrongServer, K::Stream, 0, 1, false, Step::TryAnother},
   };
   for (const PolicyCase &c : cases) {
     AttemptState state;
-    state.End = c.End;
+    state.Outcome = c.Outcome;
     state.Kind = c.Kind;
     state.Sends = c.Sends;
-    state.Arrivals = c.End == AttemptEnd::OtherServer ? 1 : c.Sends;
+    state.Arrivals = c.Outcome == AttemptOutcome::WrongServer ? 1 : c.Sends;
     state.MaxSends = c.MaxSends;
     state.MayHaveRun = c.MayHaveRun;
     EXPECT_EQ(nextStep(state, [] { return true; }), c.Expected)
-        << static_cast<int>(c.End) << " " << static_cast<int>(c.Kind);
+        << static_cast<int>(c.Outcome) << " " << static_cast<int>(c.Kind);
   }
 }
 
 /// Every combination: "not run" is said only of what cannot have run, and what
 /// may have run once is never sent again unless it may be repeated.
 TEST(AttemptPolicy, HoldsItsPromisesInEveryCase) {
-  for (int end = 0; end <= static_cast<int>(AttemptEnd::Unreachable); ++end)
+  for (int end = 0; end <= static_cast<int>(AttemptOutcome::Unreachable); ++end)
     for (int kind = 0; kind <= static_cast<int>(RequestKind::Stream); ++kind)
       for (int bits = 0; bits < 32; ++bits)
         for (int sends = 0; sends <= 3; ++sends) {
           AttemptState s;
-          s.End = static_cast<AttemptEnd>(end);
+          s.Outcome = static_cast<AttemptOutcome>(end);
           s.Kind = static_cast<RequestKind>(kind);
           s.Sends = sends;
           s.Arrivals = sends;
@@ -559,8 +562,8 @@
           s.HasServer = (bits & 4) != 0;
           const bool hasBudget = (bits & 8) != 0;
           const Step step = nextStep(s, [&] { return hasBudget; });
-          const bool mayHaveRunNow =
-              s.End == AttemptEnd::Broken || s.End == AttemptEnd::Failed;
+          const bool mayHaveRunNow = s.Outcome == AttemptOutcome::Incomplete ||
+                                     s.Outcome == AttemptOutcome::Failed;
           if (step == Step::RefuseNotRun) {
             EXPECT_FALSE(mayHaveRunNow || s.MayHaveRun);
           }
@@ -576,7 +579,7 @@
 
 TEST(AttemptPolicy, TakesFromTheBudgetOnlyWhatItUses) {
   AttemptState s;
-  s.End = AttemptEnd::Broken;
+  s.Outcome = AttemptOutcome::Incomplete;
   s.Kind = RequestKind::Idempotent;
   s.Sends = 1;
   s.Arrivals = 1;
@@ -598,13 +601,13 @@
 /// the first in 10 s, where 232 were allowed.
 TEST(AttemptPolicy, EndedServersDrawOnTheBudgetToo) {
   AttemptState s;
-  s.End = AttemptEnd::OtherServer;
+  s.Outcome = AttemptOutcome::WrongServer;
   s.Kind = RequestKind::Stream;
   s.Sends = 0;
   s.Arrivals = 1;
   EXPECT_EQ(nextStep(s, [] { return false; }), Step::RefuseNotRun);
   EXPECT_EQ(nextStep(s, [] { return true; }), Step::TryAnother);
-  s.Arrivals = MostArrivals;
+  s.Arrivals = MaxArrivals;
   EXPECT_EQ(nextStep(s, [] { return true; }), Step::RefuseNotRun);
 }
 
@@ -621,7 +624,7 @@
     // Bursts of everything failing.
     const bool isBurst = (ms / 7'000) % 2 == 1;
     if (random.chance(0.5)) {
-      budget.firstSend(now, "shop");
+      budget.recordFirstSend(now, "shop");
       firsts.push_back(now);
     }
     if (isBurst && budget.tryRetry(now, "shop", Gateways))
@@ -648,12 +651,12 @@
 TEST(EventSplitter, KeepsACutEventBack) {
   EventSplitter s;
   EXPECT_EQ(s.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-  EXPECT_TRUE(s.hasRest());
+  EXPECT_TRUE(s.hasPartialEvent());
   EXPECT_EQ(s.lastId(), 1);
-  s.restart();
+  s.discardPartialEvent();
   EXPECT_EQ(s.feed("id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
-  EXPECT_FALSE(s.hasRest());
-  EXPECT_EQ(s.events(), 2U);
+  EXPECT_FALSE(s.hasPartialEvent());
+  EXPECT_EQ(s.eventCount(), 2U);
 }
 
 TEST(EventSplitter, DropsWhatHasPassed) {
@@ -674,33 +677,33 @@
       out += s.feed({&c, 1});
     EXPECT_EQ(out, text);
     EXPECT_EQ(s.lastId(), 1);
-    EXPECT_EQ(s.events(), 2U);
+    EXPECT_EQ(s.eventCount(), 2U);
   }
 }
 
 // Ledger and placement.
 
-TEST(Ledger, ForecastsWhatRunsWillAdd) {
-  LedgerRun r = run(1, "s", 1'000);
+TEST(RunTable, ForecastsWhatRunsWillAdd) {
+  TrackedRun r = run(1, "s", 1'000);
   r.ExpectedTokens = 300;
-  r.MadeTokens = 100;
-  EXPECT_EQ(expectedRemaining(r), 200U);
-  r.MadeTokens = 400; // it has outrun its estimate
-  EXPECT_EQ(expectedRemaining(r), 200U);
-  r.MostTokens = 450;
-  EXPECT_EQ(expectedRemaining(r), 50U);
-}
-
-TEST(Ledger, AddsTheOtherGatewaysAndForgetsSilentOnes) {
-  Ledger ledger;
-  ledger.begin(run(1, "s", 1'000));
-  ledger.takePeer(Start, "peer", {run(2, "s", 500), run(3, "t", 700)});
+  r.GeneratedTokens = 100;
+  EXPECT_EQ(expectedRemainingTokens(r), 200U);
+  r.GeneratedTokens = 400; // it has outrun its estimate
+  EXPECT_EQ(expectedRemainingTokens(r), 200U);
+  r.MaxTokens = 450;
+  EXPECT_EQ(expectedRemainingTokens(r), 50U);
+}
+
+TEST(RunTable, AddsTheOtherGatewaysAndForgetsSilentOnes) {
+  RunTable ledger;
+  ledger.upsert(run(1, "s", 1'000));
+  ledger.applyPeerSnapshot(Start, "peer", {run(2, "s", 500), run(3, "t", 700)});
   EXPECT_EQ(ledger.loads()["s"].Running, 2);
   EXPECT_EQ(ledger.loads()["s"].UsedTokens, 1'500U);
   EXPECT_EQ(ledger.runsOn("t").size(), 1U);
   ledger.tick(Start + seconds(5));
   EXPECT_EQ(ledger.loads()["s"].Running, 1);
-  ledger.end(1);
+  ledger.remove(1);
   EXPECT_EQ(ledger.loads()["s"].Running, 0);
 }
 
@@ -708,10 +711,10 @@
   PlacementTest() {
     Llm.Name = "llm";
     Llm.Engine = EngineTraits{};
-    Llm.Engine->MemoryTokens = 30'000;
+    Llm.Engine->KvCacheTokens = 30'000;
   }
   Directory Servers;
-  Ledger Runs;
+  RunTable Runs;
   Service Llm;
   Placement Placing{Servers, Runs, "a"};
 };
@@ -719,10 +722,10 @@
 TEST_F(PlacementTest, ChoosesTheEngineThatWillHoldLeast) {
   Servers.put(Start, server("s1"));
   Servers.put(Start, server("s2"));
-  LedgerRun long1 = run(1, "s1", 3'000);
-  long1.HasBegun = true;
-  Runs.begin(long1);
-  const Choice c = Placing.forGeneration(Start, Llm, {3'000, 1'000}, {});
+  TrackedRun long1 = run(1, "s1", 3'000);
+  long1.HasFirstToken = true;
+  Runs.upsert(long1);
+  const Choice c = Placing.chooseForGeneration(Start, Llm, {3'000, 1'000}, {});
   ASSERT_NE(c.Chosen, nullptr);
   EXPECT_EQ(c.Chosen->Listed.Id, "s2");
   EXPECT_EQ(c.Candidates, 2);
@@ -732,23 +735,24 @@
   Servers.put(Start, server("full", "llm", "a"));
   Servers.put(Start, server("far", "llm", "b"));
   for (RunId i = 0; i < 8; ++i) {
-    LedgerRun r = run(i, "full", 3'300);
-    r.HasBegun = true;
-    Runs.begin(r);
+    TrackedRun r = run(i, "full", 3'300);
+    r.HasFirstToken = true;
+    Runs.upsert(r);
   }
-  const Choice c = Placing.forGeneration(Start, Llm, {3'000, 1'000}, {});
+  const Choice c = Placing.chooseForGeneration(Start, Llm, {3'000, 1'000}, {});
   EXPECT_EQ(c.Chosen->Listed.Id, "far");
 }
 
 /// Gateways that take the list from others hear of a cold server once.
 TEST_F(PlacementTest, ColdServersWarmUpWithTime) {
   ListedServer cold = server("cold", "llm", "a");
-  cold.ColdLeft = milliseconds(1'000);
+  cold.ColdRemaining = milliseconds(1'000);
   Servers.put(Start, cold);
   Servers.put(Start, server("far", "llm", "b"));
-  EXPECT_EQ(Placing.forGeneration(Start, Llm, {100, 10}, {}).Chosen->Listed.Id,
-            "far");
-  EXPECT_EQ(Placing.forGeneration(Start + seconds(1), Llm, {100, 10}, {})
+  EXPECT_EQ(
+      Placing.chooseForGeneration(Start, Llm, {100, 10}, {}).Chosen->Listed.Id,
+      "far");
+  EXPECT_EQ(Placing.chooseForGeneration(Start + seconds(1), Llm, {100, 10}, {})
                 .Chosen->Listed.Id,
             "cold");
 }
@@ -758,7 +762,7 @@
   Servers.put(Start, server("plain", "shop"));
   Service shop;
   shop.Name = "shop";
-  const Choice c = Placing.forGeneration(Start, shop, {3'000, 1'000}, {});
+  const Choice c = Placing.chooseForGeneration(Start, shop, {3'000, 1'000}, {});
   ASSERT_NE(c.Chosen, nullptr);
   EXPECT_EQ(c.Chosen->Listed.Id, "plain");
 }
@@ -766,13 +770,14 @@
 TEST_F(PlacementTest, PrefersTheOwnZoneAmongEquals) {
   Servers.put(Start, server("far", "llm", "b"));
   Servers.put(Start, server("near", "llm", "a"));
-  EXPECT_EQ(Placing.forGeneration(Start, Llm, {100, 10}, {}).Chosen->Listed.Id,
-            "near");
+  EXPECT_EQ(
+      Placing.chooseForGeneration(Start, Llm, {100, 10}, {}).Chosen->Listed.Id,
+      "near");
   // A move looks at the zone that the copy comes from.
   const Server source{server("source", "llm", "b")};
-  EXPECT_EQ(
-      Placing.forMove(Start, Llm, {100, 10}, source, {}).Chosen->Listed.Id,
-      "far");
+  EXPECT_EQ(Placing.chooseForMigration(Start, Llm, {100, 10}, source, {})
+                .Chosen->Listed.Id,
+            "far");
 }
 
 /// Engines that reset every request and say that they are well were tried again
@@ -780,22 +785,22 @@
 TEST_F(PlacementTest, AStruckEngineIsTriedByOneShortGenerationAtATime) {
   Servers.put(Start, server("failing"));
   Servers.put(Start, server("busy"));
-  Servers.note(Start, "failing", ServerOutcome::Broken);
+  Servers.recordOutcome(Start, "failing", ServerOutcome::Incomplete);
   for (RunId i = 0; i < 4; ++i) {
-    LedgerRun r = run(i, "busy", 4'000);
-    r.HasBegun = true;
-    Runs.begin(r);
+    TrackedRun r = run(i, "busy", 4'000);
+    r.HasFirstToken = true;
+    Runs.upsert(r);
   }
   const base::Instant later = Start + seconds(2);
   const auto chosen = [&](std::uint32_t expected) {
-    return Placing.forGeneration(later, Llm, {2'000, expected}, {})
+    return Placing.chooseForGeneration(later, Llm, {2'000, expected}, {})
         .Chosen->Listed.Id;
   };
   EXPECT_EQ(chosen(700), "busy");
   EXPECT_EQ(chosen(20), "failing");
-  Runs.begin(run(9, "failing", 2'000, 40));
+  Runs.upsert(run(9, "failing", 2'000, 40));
   EXPECT_EQ(chosen(20), "busy");
-  Servers.note(later, "failing", ServerOutcome::Served);
+  Servers.recordOutcome(later, "failing", ServerOutcome::Served);
   EXPECT_EQ(chosen(700), "failing");
 }
 
@@ -810,7 +815,8 @@
   std::set<std::string> chosen;
   for (const char *id : {"u", "v", "w", "x", "y", "z"}) {
     const Server source{server(id)};
-    const Choice c = Placing.forMove(Start, Llm, {3'000, 500}, source, {});
+    const Choice c =
+        Placing.chooseForMigration(Start, Llm, {3'000, 500}, source, {});
     chosen.insert(c.Chosen->Listed.Id);
   }
   EXPECT_GE(chosen.size(), 4U);
@@ -821,13 +827,14 @@
   Servers.put(Start, server("d2"));
   const Server source{server("source")};
   const std::string first =
-      Placing.forMove(Start, Llm, {3'000, 500}, source, {}).Chosen->Listed.Id;
-  LedgerRun moving = run(1, "other", 3'000);
+      Placing.chooseForMigration(Start, Llm, {3'000, 500}, source, {})
+          .Chosen->Listed.Id;
+  TrackedRun moving = run(1, "other", 3'000);
   moving.CopyServer = first;
-  Runs.begin(moving);
-  EXPECT_NE(
-      Placing.forMove(Start, Llm, {3'000, 500}, source, {}).Chosen->Listed.Id,
-      first);
+  Runs.upsert(moving);
+  EXPECT_NE(Placing.chooseForMigration(Start, Llm, {3'000, 500}, source, {})
+                .Chosen->Listed.Id,
+            first);
 }
 
 TEST_F(PlacementTest, NeverChoosesLeavingOrTriedServers) {
@@ -835,26 +842,30 @@
   Servers.put(Start, server("s2"));
   Servers.markLeaving(Start, {"s1"});
   const std::vector<std::string> tried{"s2"};
-  EXPECT_EQ(Placing.forGeneration(Start, Llm, {1, 1}, tried).Chosen, nullptr);
+  EXPECT_EQ(Placing.chooseForGeneration(Start, Llm, {1, 1}, tried).Chosen,
+            nullptr);
   base::Random random(1);
-  EXPECT_EQ(Placing.forCall(Start, "llm", tried, random), nullptr);
+  EXPECT_EQ(Placing.chooseForRequest(Start, "llm", tried, random), nullptr);
 }
 
 TEST_F(PlacementTest, CallsGoWhereFewestAreOpen) {
   Servers.put(Start, server("near", "shop", "a"));
   Servers.put(Start, server("far", "shop", "b"));
   base::Random random(1);
-  EXPECT_EQ(Placing.forCall(Start, "shop", {}, random)->Listed.Id, "near");
-  Servers.opened("near");
-  EXPECT_EQ(Placing.forCall(Start, "shop", {}, random)->Listed.Id, "far");
-  Servers.closed("near");
-  EXPECT_EQ(Placing.forCall(Start, "shop", {}, random)->Listed.Id, "near");
+  EXPECT_EQ(Placing.chooseForRequest(Start, "shop", {}, random)->Listed.Id,
+            "near");
+  Servers.requestStarted("near");
+  EXPECT_EQ(Placing.chooseForRequest(Start, "shop", {}, random)->Listed.Id,
+            "far");
+  Servers.requestEnded("near");
+  EXPECT_EQ(Placing.chooseForRequest(Start, "shop", {}, random)->Listed.Id,
+            "near");
 }
 
 // Move plan.
 
 TEST(MovePlan, GatewaysAgreeOnOneOrder) {
-  std::vector<LedgerRun> there;
+  std::vector<TrackedRun> there;
   for (RunId i = 1; i <= 6; ++i)
     there.push_back(run(i, "s", 1'000 + static_cast<std::uint32_t>(i % 3),
                         i == 6 ? 40 : 2'000));
@@ -863,64 +874,64 @@
     std::vector<RunId> turns;
     for (std::size_t i = 0; i < there.size(); ++i) {
       // Each gateway sees the list in an order of its own.
-      std::vector<LedgerRun> seen = there;
+      std::vector<TrackedRun> seen = there;
       std::rotate(seen.begin(), seen.begin() + static_cast<std::ptrdiff_t>(i),
                   seen.end());
-      if (isTurn(seen, there[i]))
+      if (isNextToMigrate(seen, there[i]))
         turns.push_back(there[i].Id);
     }
     ASSERT_EQ(turns.size(), 1U);
     order.push_back(turns[0]);
-    std::erase_if(there, [&](const LedgerRun &r) { return r.Id == turns[0]; });
+    std::erase_if(there, [&](const TrackedRun &r) { return r.Id == turns[0]; });
   }
   // What ends within the notice comes last.
   EXPECT_EQ(order.back(), 6U);
 }
 
 TEST(MovePlan, ProgressDoesNotChangeTheOrder) {
-  LedgerRun a = run(1, "s", 1'000);
-  LedgerRun b = run(2, "s", 1'000);
-  a.HasBegun = true;
-  b.HasBegun = true;
-  const std::vector<LedgerRun> before{a, b};
-  const bool aFirst = isTurn(before, a);
-  a.MadeTokens = 500;
-  b.MadeTokens = 3;
-  const std::vector<LedgerRun> after{a, b};
-  EXPECT_EQ(isTurn(after, a), aFirst);
-  EXPECT_NE(isTurn(after, b), aFirst);
+  TrackedRun a = run(1, "s", 1'000);
+  TrackedRun b = run(2, "s", 1'000);
+  a.HasFirstToken = true;
+  b.HasFirstToken = true;
+  const std::vector<TrackedRun> before{a, b};
+  const bool aFirst = isNextToMigrate(before, a);
+  a.GeneratedTokens = 500;
+  b.GeneratedTokens = 3;
+  const std::vector<TrackedRun> after{a, b};
+  EXPECT_EQ(isNextToMigrate(after, a), aFirst);
+  EXPECT_NE(isNextToMigrate(after, b), aFirst);
 }
 
 /// A generation whose prompt was still being read held up the others of a
 /// leaving engine for 0.9 s, and then all copied at once (pwani-minutes-grown
 /// trouble-3, 49 streams cut).
 TEST(MovePlan, WhatHasNotBegunHoldsNobodyUp) {
-  LedgerRun unread = run(1, "s", 1'000, 8'000);
-  LedgerRun begun = run(2, "s", 4'000, 400);
-  begun.HasBegun = true;
-  const std::vector<LedgerRun> there{unread, begun};
-  EXPECT_TRUE(isTurn(there, begun));
-  EXPECT_FALSE(isTurn(there, unread));
+  TrackedRun unread = run(1, "s", 1'000, 8'000);
+  TrackedRun begun = run(2, "s", 4'000, 400);
+  begun.HasFirstToken = true;
+  const std::vector<TrackedRun> there{unread, begun};
+  EXPECT_TRUE(isNextToMigrate(there, begun));
+  EXPECT_FALSE(isNextToMigrate(there, unread));
 }
 
 TEST(MovePlan, ACopyUnderWayIsNotOvertaken) {
-  LedgerRun moving = run(1, "s", 4'000, 400);
-  moving.HasBegun = true;
+  TrackedRun moving = run(1, "s", 4'000, 400);
+  moving.HasFirstToken = true;
   moving.CopyServer = "d";
-  LedgerRun better = run(2, "s", 1'000, 8'000);
-  better.HasBegun = true;
-  const std::vector<LedgerRun> there{moving, better};
-  EXPECT_TRUE(isTurn(there, moving));
-  EXPECT_FALSE(isTurn(there, better));
+  TrackedRun better = run(2, "s", 1'000, 8'000);
+  better.HasFirstToken = true;
+  const std::vector<TrackedRun> there{moving, better};
+  EXPECT_TRUE(isNextToMigrate(there, moving));
+  EXPECT_FALSE(isNextToMigrate(there, better));
 }
 
 TEST(MovePlan, WhatIsWorthMostForItsCopyGoesFirst) {
-  LedgerRun large = run(1, "s", 6'000, 2'000);
-  large.HasBegun = true;
-  LedgerRun small = run(2, "s", 1'500, 2'000);
-  small.HasBegun = true;
-  const std::vector<LedgerRun> there{large, small};
-  EXPECT_TRUE(isTurn(there, small));
+  TrackedRun large = run(1, "s", 6'000, 2'000);
+  large.HasFirstToken = true;
+  TrackedRun small = run(2, "s", 1'500, 2'000);
+  small.HasFirstToken = true;
+  const std::vector<TrackedRun> there{large, small};
+  EXPECT_TRUE(isNextToMigrate(there, small));
 }
 
 TEST(MovePlan, CopiesTakeTheTimeOfTheirBytes) {
@@ -948,35 +959,38 @@
   Peers peers(Start,
               {"own", {"10.0.0.1", 9}, 1, {{"10.0.0.2", 9}, {"10.0.0.1", 9}}});
   // The own address is no peer.
-  ASSERT_EQ(peers.due(Start).size(), 1U);
+  ASSERT_EQ(peers.sendTargets(Start).size(), 1U);
   EXPECT_TRUE(peers.live(Start).empty());
   wire::Gossip message = gossip("10.0.0.2:9", 7);
   message.add_peers("10.0.0.3:9");
   message.add_peers("10.0.0.1:9");
   message.add_peers("nonsense");
-  EXPECT_EQ(peers.heard(Start, message), Peers::Heard::Newcomer);
-  EXPECT_EQ(peers.heard(Start, message), Peers::Heard::Known);
+  EXPECT_EQ(peers.recordMessage(Start, message),
+            Peers::ReceiveResult::NewInstance);
+  EXPECT_EQ(peers.recordMessage(Start, message), Peers::ReceiveResult::Known);
   ASSERT_EQ(peers.live(Start).size(), 1U);
   EXPECT_EQ(peers.live(Start)[0].ConfigVersion, 7U);
-  EXPECT_EQ(peers.due(Start).size(), 2U);
-  EXPECT_EQ(peers.heard(Start, gossip("10.0.0.1:9")), Peers::Heard::Nothing);
-  EXPECT_EQ(peers.heard(Start, gossip("garbage")), Peers::Heard::Nothing);
+  EXPECT_EQ(peers.sendTargets(Start).size(), 2U);
+  EXPECT_EQ(peers.recordMessage(Start, gossip("10.0.0.1:9")),
+            Peers::ReceiveResult::Ignored);
+  EXPECT_EQ(peers.recordMessage(Start, gossip("garbage")),
+            Peers::ReceiveResult::Ignored);
 }
 
 TEST(Peers, SilentOnesAreToldSeldomAndStillCountForAWhile) {
   Peers peers(Start, {"own", {"10.0.0.1", 9}, 1, {}});
-  peers.heard(Start, gossip("10.0.0.2:9"));
+  peers.recordMessage(Start, gossip("10.0.0.2:9"));
   // Just after the start nobody may have been heard yet: after a power loss
   // each gateway took the whole allowance for itself.
-  EXPECT_GE(peers.gateways(Start), 20);
+  EXPECT_GE(peers.gatewayCount(Start), 20);
   const base::Instant later = Start + seconds(5);
   EXPECT_TRUE(peers.live(later).empty());
-  EXPECT_EQ(peers.gateways(later), 2);
-  EXPECT_EQ(peers.due(later).size(), 1U);
-  EXPECT_TRUE(peers.due(later + milliseconds(500)).empty());
-  EXPECT_EQ(peers.due(later + milliseconds(1'100)).size(), 1U);
-  EXPECT_TRUE(peers.due(Start + seconds(30)).empty());
-  EXPECT_EQ(peers.gateways(Start + seconds(30)), 1);
+  EXPECT_EQ(peers.gatewayCount(later), 2);
+  EXPECT_EQ(peers.sendTargets(later).size(), 1U);
+  EXPECT_TRUE(peers.sendTargets(later + milliseconds(500)).empty());
+  EXPECT_EQ(peers.sendTargets(later + milliseconds(1'100)).size(), 1U);
+  EXPECT_TRUE(peers.sendTargets(Start + seconds(30)).empty());
+  EXPECT_EQ(peers.gatewayCount(Start + seconds(30)), 1);
 }
 
 TEST(Peers, AFewFollowTheListForAll) {
@@ -997,7 +1011,7 @@
         message.set_watches_list(watches[from]);
         message.set_list_age_ms(from == cutOff ? 5'000 : 0);
         if (from != to)
-          all[to]->heard(now, message);
+          all[to]->recordMessage(now, message);
       }
     for (int i = 0; i < Gateways; ++i)
       watches[i] = all[i]->shouldWatchList(now);
@@ -1017,9 +1031,9 @@
 TEST(Peers, AGoodbyeEndsThePeer) {
   Peers peers(Start, {"own", {"10.0.0.1", 9}, 1, {}});
   wire::Gossip message = gossip("10.0.0.2:9");
-  peers.heard(Start, message);
+  peers.recordMessage(Start, message);
   message.set_is_last(true);
-  peers.heard(Start, message);
+  peers.recordMessage(Start, message);
   EXPECT_TRUE(peers.live(Start).empty());
 }
 
--- a/test/platform-test.cc
+++ b/test/platform-test.cc
@@ -42,41 +42,41 @@
   return values;
 }
 
-TEST(Dialect, ReadsWhatACallerSays) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
+TEST(ProtocolCodec, ReadsWhatACallerSays) {
+  const gateway::ProtocolCodec dialect = makeDialect();
+  const gateway::CallerRequest r = dialect.DecodeRequest(callersRequest());
   EXPECT_EQ(r.AttemptId, "9c41");
   EXPECT_EQ(r.Host, "a.example");
   EXPECT_EQ(r.Key, "secret");
-  EXPECT_EQ(r.Patience, milliseconds(3'000));
+  EXPECT_EQ(r.Timeout, milliseconds(3'000));
   EXPECT_EQ(r.PromptTokens, 1'460U);
-  EXPECT_EQ(r.MostTokens, 80U);
+  EXPECT_EQ(r.MaxTokens, 80U);
   EXPECT_EQ(r.ExpectedTokens, 33U);
 }
 
-TEST(Dialect, BadNumbersAreAsIfMissing) {
-  const gateway::Dialect dialect = makeDialect();
+TEST(ProtocolCodec, BadNumbersAreAsIfMissing) {
+  const gateway::ProtocolCodec dialect = makeDialect();
   http::Request request{"GET",
                         "/",
                         {{"X-Deadline-Ms", "-5"},
                          {"X-Token-Usage", "many"},
                          {"Length-Hint", "9x"}},
                         {}};
-  const gateway::CallerRequest r = dialect.ReadRequest(std::move(request));
-  EXPECT_FALSE(r.Patience);
+  const gateway::CallerRequest r = dialect.DecodeRequest(std::move(request));
+  EXPECT_FALSE(r.Timeout);
   EXPECT_EQ(r.PromptTokens, 0U);
   EXPECT_EQ(r.ExpectedTokens, 0U);
   EXPECT_TRUE(r.AttemptId.empty());
 }
 
-TEST(Dialect, ServersNeverSeeKeysOrForgedOrders) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
-  gateway::ServerOrder order;
+TEST(ProtocolCodec, ServersNeverSeeKeysOrForgedOrders) {
+  const gateway::ProtocolCodec dialect = makeDialect();
+  const gateway::CallerRequest r = dialect.DecodeRequest(callersRequest());
+  gateway::RequestMetadata order;
   order.ServerId = "i-1";
-  order.TimeLeft = milliseconds(2'500);
+  order.TimeRemaining = milliseconds(2'500);
   order.Organisation = "school";
-  const http::Request out = dialect.ToServer(r, order);
+  const http::Request out = dialect.EncodeServerRequest(r, order);
   EXPECT_EQ(out.Method, "POST");
   EXPECT_EQ(out.Target, "/shop/2f?x=1");
   EXPECT_EQ(out.Body, "body");
@@ -94,85 +94,92 @@
     EXPECT_EQ(all(out, name), Values{}) << name;
 }
 
-TEST(Dialect, PublicRequestsCarryNoOrganisation) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
-  const http::Request out = dialect.ToServer(r, {});
+TEST(ProtocolCodec, PublicRequestsCarryNoOrganisation) {
+  const gateway::ProtocolCodec dialect = makeDialect();
+  const gateway::CallerRequest r = dialect.DecodeRequest(callersRequest());
+  const http::Request out = dialect.EncodeServerRequest(r, {});
   EXPECT_TRUE(all(out, "X-Tenant").empty());
 }
 
-TEST(Dialect, AContinuationReplacesTheCallersPosition) {
-  const gateway::Dialect dialect = makeDialect();
+TEST(ProtocolCodec, AContinuationReplacesTheCallersPosition) {
+  const gateway::ProtocolCodec dialect = makeDialect();
   http::Request request = callersRequest();
   request.Headers.push_back({"Last-Event-Id", "1"});
-  const gateway::CallerRequest r = dialect.ReadRequest(std::move(request));
-  EXPECT_EQ(all(dialect.ToServer(r, {}), "Last-Event-Id").size(), 1U);
-  gateway::ServerOrder order;
-  order.From = gateway::Continuation{{"10.0.0.7", 80}, "h1", 41};
+  const gateway::CallerRequest r = dialect.DecodeRequest(std::move(request));
+  EXPECT_EQ(all(dialect.EncodeServerRequest(r, {}), "Last-Event-Id").size(),
+            1U);
+  gateway::RequestMetadata order;
+  order.ResumeFrom = gateway::ResumePoint{{"10.0.0.7", 80}, "h1", 41};
   order.Priority = 2;
-  const http::Request out = dialect.ToServer(r, order);
+  const http::Request out = dialect.EncodeServerRequest(r, order);
   using Values = std::vector<std::string_view>;
   EXPECT_EQ(all(out, "Last-Event-Id"), Values{"41"});
   EXPECT_EQ(all(out, "Kv-From"), Values{"10.0.0.7:80/h1"});
   EXPECT_EQ(all(out, "Priority"), Values{"2"});
 }
 
-TEST(Dialect, TellsAnswersApart) {
-  const gateway::Dialect dialect = makeDialect();
-  const gateway::CallerRequest r = dialect.ReadRequest(callersRequest());
+TEST(ProtocolCodec, TellsAnswersApart) {
+  const gateway::ProtocolCodec dialect = makeDialect();
+  const gateway::CallerRequest r = dialect.DecodeRequest(callersRequest());
   http::AnswerHead head{200,
                         {{"X-Attempt-Id", "9c41"},
                          {"X-Served-Stamp", "s"},
                          {"Connection", "close"},
                          {"Content-Length", "9"},
                          {"Content-Type", "text/plain"}}};
-  gateway::ServerAnswer a = dialect.ReadAnswer(r, head);
-  EXPECT_TRUE(a.IsOwn && a.IsStamped);
+  gateway::ServerResponse a = dialect.DecodeResponseHead(r, head);
+  EXPECT_TRUE(a.MatchesAttempt && a.IsStamped);
   EXPECT_FALSE(a.HasNotRun);
   EXPECT_EQ(http::findHeader(a.Headers, "content-type"), "text/plain");
   EXPECT_EQ(http::findHeader(a.Headers, "X-Served-Stamp"), "s");
   EXPECT_EQ(http::findHeader(a.Headers, "Content-Length"), "");
   head.Headers.push_back({"Content-Encoding", "gzip"});
-  EXPECT_FALSE(dialect.ReadAnswer(r, head).IsStamped);
-  EXPECT_FALSE(dialect.ReadAnswer(r, {200, {{"X-Attempt-Id", "other"}}}).IsOwn);
-  a = dialect.ReadAnswer(r, {503, {{"X-Not-Run", "1"}}});
-  EXPECT_TRUE(a.HasNotRun && !a.IsOtherServer);
-  a = dialect.ReadAnswer(r, {421, {}});
-  EXPECT_TRUE(a.HasNotRun && a.IsOtherServer);
+  EXPECT_FALSE(dialect.DecodeResponseHead(r, head).IsStamped);
+  EXPECT_FALSE(dialect.DecodeResponseHead(r, {200, {{"X-Attempt-Id", "other"}}})
+                   .MatchesAttempt);
+  a = dialect.DecodeResponseHead(r, {503, {{"X-Not-Run", "1"}}});
+  EXPECT_TRUE(a.HasNotRun && !a.IsWrongServer);
+  a = dialect.DecodeResponseHead(r, {421, {}});
+  EXPECT_TRUE(a.HasNotRun && a.IsWrongServer);
   // Without the word a refusal proves nothing.
-  EXPECT_FALSE(dialect.ReadAnswer(r, {503, {}}).HasNotRun);
+  EXPECT_FALSE(dialect.DecodeResponseHead(r, {503, {}}).HasNotRun);
 }
 
-TEST(Dialect, MovesAreAskedAndAnswered) {
-  const gateway::Dialect dialect = makeDialect();
-  const http::Request ask = dialect.ToMove({"9c41", {"10.0.0.2", 81}, true});
+TEST(ProtocolCodec, MovesAreAskedAndAnswered) {
+  const gateway::ProtocolCodec dialect = makeDialect();
+  const http::Request ask =
+      dialect.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, true});
   EXPECT_EQ(ask.Method, "POST");
   EXPECT_NE(ask.Body.find("\"10.0.0.2:81\""), std::string::npos);
   EXPECT_NE(ask.Body.find("\"last\":true"), std::string::npos);
-  EXPECT_EQ(dialect.ToMove({"9c41", {"10.0.0.2", 81}, false}).Body.find("last"),
+  EXPECT_EQ(dialect.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, false})
+                .Body.find("last"),
             std::string::npos);
-  using Outcome = gateway::MoveAnswer::Outcome;
+  using Outcome = gateway::CopyResponse::Outcome;
   const auto read = [&](int status, std::string body) {
-    return dialect.ReadMove(http::Response{status, "", std::move(body), {}});
+    return dialect.DecodeCopyResponse(
+        http::Response{status, "", std::move(body), {}});
   };
   const auto copied = read(200, R"({"handle":"h7","made":12})");
-  EXPECT_EQ(copied.What, Outcome::Copied);
+  EXPECT_EQ(copied.Code, Outcome::Copied);
   EXPECT_EQ(copied.Handle, "h7");
-  EXPECT_EQ(copied.EventsMade, 12U);
+  EXPECT_EQ(copied.EventsGenerated, 12U);
   EXPECT_EQ(read(200, R"({"handle":7})").Handle, "7");
-  EXPECT_EQ(read(404, "").What, Outcome::NoSuchRun);
-  EXPECT_EQ(read(409, "").What, Outcome::Busy);
+  EXPECT_EQ(read(404, "").Code, Outcome::NoSuchRun);
+  EXPECT_EQ(read(409, "").Code, Outcome::Busy);
   EXPECT_EQ(read(503, R"({"handle":"h7"})").Handle, "h7");
-  EXPECT_EQ(read(500, "nonsense").What, Outcome::Failed);
+  EXPECT_EQ(read(500, "nonsense").Code, Outcome::Failed);
   EXPECT_EQ(
-      dialect.ReadMove(base::Error{base::ErrorCode::Unavailable, "", ""}).What,
+      dialect
+          .DecodeCopyResponse(base::Error{base::ErrorCode::Unavailable, "", ""})
+          .Code,
       Outcome::Failed);
 }
 
-TEST(Dialect, ReportsSayWhetherTheServerLeaves) {
-  const gateway::Dialect dialect = makeDialect();
+TEST(ProtocolCodec, ReportsSayWhetherTheServerLeaves) {
+  const gateway::ProtocolCodec dialect = makeDialect();
   const auto read = [&](std::string body) {
-    return dialect.ReadReport(http::Response{200, "", std::move(body), {}});
+    return dialect.DecodeReport(http::Response{200, "", std::move(body), {}});
   };
   auto report = read(R"({"state":"draining","leaves_ms":1700.5,"waiting":1,
                          "running":12,"kvUsed":41000,"kvTotal":90000})");
@@ -184,10 +191,10 @@
   ASSERT_TRUE(ok(report));
   EXPECT_FALSE(base::value(report).IsLeaving);
   EXPECT_FALSE(base::value(report).LeavesIn);
-  EXPECT_EQ(base::value(report).BornAt, milliseconds(0));
+  EXPECT_EQ(base::value(report).StartedAt, milliseconds(0));
   report = read(R"({"state":"ready","born":1777897410029})");
   ASSERT_TRUE(ok(report));
-  EXPECT_EQ(base::value(report).BornAt.count(), 1'777'897'410'029);
+  EXPECT_EQ(base::value(report).StartedAt.count(), 1'777'897'410'029);
   EXPECT_FALSE(ok(read("nonsense")));
   EXPECT_FALSE(ok(read(R"({"running":"many"})")));
   EXPECT_FALSE(ok(read(R"({"state":"ready","born":"yesterday"})")));
@@ -217,7 +224,7 @@
   EXPECT_EQ(c.Version, 7U);
   ASSERT_EQ(c.Routes.size(), 2U);
   EXPECT_EQ(c.Routes[0].Kind, gateway::RequestKind::Stream);
-  EXPECT_EQ(c.Routes[0].LongestPause, milliseconds(180));
+  EXPECT_EQ(c.Routes[0].MaxEventGap, milliseconds(180));
   EXPECT_EQ(c.Routes[0].Services[0].Service, "llm");
   EXPECT_EQ(c.Routes[1].Kind, gateway::RequestKind::Idempotent);
   EXPECT_TRUE(c.Routes[1].IsPublic);
@@ -225,8 +232,8 @@
   ASSERT_EQ(c.Routes[1].Services.size(), 2U);
   EXPECT_EQ(c.Routes[1].Services[1].Weight, 10);
   ASSERT_NE(c.service("llm"), nullptr);
-  EXPECT_EQ(c.service("llm")->Engine->MemoryTokens, 34'545U);
-  EXPECT_TRUE(c.service("llm")->Engine->CanMove);
+  EXPECT_EQ(c.service("llm")->Engine->KvCacheTokens, 34'545U);
+  EXPECT_TRUE(c.service("llm")->Engine->CanMigrate);
   EXPECT_FALSE(c.service("shop")->Engine);
   EXPECT_EQ(c.service("none"), nullptr);
   EXPECT_EQ(c.Limits.IdleLimit, milliseconds(15'000));
@@ -252,7 +259,7 @@
   EXPECT_EQ(s.Service, "llm");
   EXPECT_EQ(base::toString(s.Address), "10.1.2.3:80");
   EXPECT_EQ(s.State, gateway::ServerState::Leaving);
-  EXPECT_EQ(s.ColdLeft, milliseconds(250));
+  EXPECT_EQ(s.ColdRemaining, milliseconds(250));
   EXPECT_FALSE(ok(decodeServer("servers/i-7", "{}")));
   EXPECT_FALSE(ok(
       decodeServer("servers/i-7", R"({"backend":"llm","address":"name:80"})")));
--- a/test/sidecar-test.cc
+++ b/test/sidecar-test.cc
@@ -37,10 +37,10 @@
           return serve(std::move(r), x);
         });
     Engine = std::move(value(engine));
-    auto gateway = gateway::Datagrams::open(Io, GatewayAt);
+    auto gateway = gateway::DatagramSocket::open(Io, GatewayAt);
     Gateway = std::move(value(gateway));
     const auto take = [this](std::string_view bytes,
-                             const gateway::Datagrams::Sender &) {
+                             const gateway::DatagramSocket::Sender &) {
       wire::Gossip message;
       message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
       Heard.push_back(message.notice());
@@ -98,7 +98,7 @@
   bool HangsOnce = false;
   std::vector<wire::EngineNotice> Heard;
   std::unique_ptr<http::Server> Engine;
-  std::unique_ptr<gateway::Datagrams> Gateway;
+  std::unique_ptr<gateway::DatagramSocket> Gateway;
   std::unique_ptr<Sidecar> Beside;
 };
 
--- a/test/store-session-test.cc
+++ b/test/store-session-test.cc
@@ -7,7 +7,7 @@
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/daemon/sleep.h"
-#include "drumlanding/gateway/datagrams.h"
+#include "drumlanding/gateway/datagram-socket.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -187,7 +187,7 @@
 public:
   PeerStandIn(asio::io_context &io, std::vector<const CountingServer *> listed)
       : Address(freeEndpoint()), Listed(std::move(listed)) {
-    auto socket = Datagrams::open(io, Address);
+    auto socket = DatagramSocket::open(io, Address);
     Socket = std::move(value(socket));
     auto made = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
@@ -258,7 +258,7 @@
     co_await x.send(std::move(response));
   }
 
-  std::unique_ptr<Datagrams> Socket;
+  std::unique_ptr<DatagramSocket> Socket;
   std::unique_ptr<http::Server> Listener;
 };
 
