--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -78,27 +78,28 @@
 }
 
 void sendTo(ForwardedRequest &f, const Server &server,
-            const std::optional<Continuation> &from) {
-  ServerOrder order;
+            const std::optional<ResumePoint> &from) {
+  RequestMetadata order;
   order.ServerId = server.Listed.Id;
-  order.TimeLeft = std::max(f.timeRemaining(), milliseconds(1));
+  order.TimeRemaining = std::max(f.timeRemaining(), milliseconds(1));
   if (f.CallerOrganisation)
     order.Organisation = f.CallerOrganisation->Name;
   if (f.ChosenService->Engine)
     order.Priority = f.priority();
-  order.From = from;
+  order.ResumeFrom = from;
   ++f.Arrivals;
-  f.Connection->send(f.Ctx.Codec.ToServer(f.Request, order));
+  f.Connection->send(f.Ctx.Codec.EncodeServerRequest(f.Request, order));
 }
 
-asio::awaitable<std::optional<ServerAnswer>>
+asio::awaitable<std::optional<ServerResponse>>
 readMatchingHead(ForwardedRequest &f) {
   for (int i = 0; i < MaxForeignResponses; ++i) {
     auto head = co_await f.Connection->readHead();
     if (!ok(head))
       co_return std::nullopt;
-    ServerAnswer answer = f.Ctx.Codec.ReadAnswer(f.Request, value(head));
-    if (answer.IsOwn || answer.HasNotRun)
+    ServerResponse answer =
+        f.Ctx.Codec.DecodeResponseHead(f.Request, value(head));
+    if (answer.MatchesAttempt || answer.HasNotRun)
       co_return answer;
     f.Ctx.Log.write("foreign-answer", {{"request", f.Request.AttemptId}});
     const auto skipped = co_await readBody(f);
@@ -120,25 +121,25 @@
   }
 }
 
-AttemptEnd classifyResponse(const ServerAnswer &answer) {
+AttemptOutcome classifyResponse(const ServerResponse &answer) {
   constexpr int FirstServerErrorStatus = 500;
-  if (answer.IsOtherServer)
-    return AttemptEnd::OtherServer;
+  if (answer.IsWrongServer)
+    return AttemptOutcome::WrongServer;
   if (answer.HasNotRun)
-    return AttemptEnd::NotRun;
+    return AttemptOutcome::NotRun;
   // Without its stamp it is not the server's answer.
   if (!answer.IsStamped)
-    return AttemptEnd::Broken;
-  return answer.Status >= FirstServerErrorStatus ? AttemptEnd::Failed
-                                                 : AttemptEnd::Served;
+    return AttemptOutcome::Incomplete;
+  return answer.Status >= FirstServerErrorStatus ? AttemptOutcome::Failed
+                                                 : AttemptOutcome::Served;
 }
 
 Step decideNextStep(ForwardedRequest &f, const Attempt &attempt,
                     bool hasServer) {
-  if (attempt.End == AttemptEnd::OtherServer)
+  if (attempt.End == AttemptOutcome::WrongServer)
     --f.Sends;
   AttemptState state;
-  state.End = attempt.End;
+  state.Outcome = attempt.End;
   state.Kind = f.MatchedRoute->Kind;
   state.Sends = f.Sends;
   state.Arrivals = f.Arrivals;
@@ -149,7 +150,8 @@
   return nextStep(state, [&] {
     const base::Instant now = f.Ctx.now();
     const bool isGranted = f.Ctx.Budget.tryRetry(
-        now, f.ChosenService->Name, f.Ctx.GatewayPeers.gateways(now));
+        now, f.ChosenService->Name,
+                                               f.Ctx.GatewayPeers.gatewayCount(now));
     countRetry(f.Ctx.Metrics, f.ChosenService->Name, isGranted);
     return isGranted;
   });
@@ -175,7 +177,7 @@
                      std::chrono::duration<double>(retryAfter(why)).count())});
   response.Headers.push_back(
       {"Drumlanding-Verdict", std::string(toString(verdict))});
-  f.Ctx.Codec.MarkAnswer(f.Request, response);
+  f.Ctx.Codec.AddAttemptId(f.Request, response);
   return response;
 }
 
@@ -193,25 +195,25 @@
     return;
   ServerOutcome outcome = ServerOutcome::Served;
   switch (attempt.End) {
-  case AttemptEnd::Served:
+  case AttemptOutcome::Served:
     break;
-  case AttemptEnd::Failed:
+  case AttemptOutcome::Failed:
     outcome = ServerOutcome::Failed;
     break;
-  case AttemptEnd::Broken:
-    outcome = ServerOutcome::Broken;
+  case AttemptOutcome::Incomplete:
+    outcome = ServerOutcome::Incomplete;
     break;
-  case AttemptEnd::NotRun:
+  case AttemptOutcome::NotRun:
     outcome = ServerOutcome::Refused;
     break;
-  case AttemptEnd::Unreachable:
+  case AttemptOutcome::Unreachable:
     outcome = ServerOutcome::Unreachable;
     break;
-  case AttemptEnd::OtherServer:
+  case AttemptOutcome::WrongServer:
     f.Ctx.Servers.markReplaced(f.Ctx.now(), server);
     return;
   }
-  f.Ctx.Servers.note(f.Ctx.now(), server, outcome);
+  f.Ctx.Servers.recordOutcome(f.Ctx.now(), server, outcome);
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/forwarded-request.h
+++ b/src/gateway/forwarded-request.h
@@ -62,13 +62,13 @@
 
 /// A whole answer of a server.
 struct CompleteResponse {
-  ServerAnswer Head;
+  ServerResponse Head;
   std::string Body;
 };
 
 /// One attempt at a server.
 struct Attempt {
-  AttemptEnd End = AttemptEnd::Unreachable;
+  AttemptOutcome End = AttemptOutcome::Unreachable;
   /// For the log.
   std::string Cause;
   std::optional<CompleteResponse> Response;
@@ -81,17 +81,17 @@
 
 /// Sends the request; from here on it may run.
 void sendTo(ForwardedRequest &f, const Server &server,
-            const std::optional<Continuation> &from);
+            const std::optional<ResumePoint> &from);
 
 /// Reads heads until one answers this request; none when the connection broke.
-asio::awaitable<std::optional<ServerAnswer>>
+asio::awaitable<std::optional<ServerResponse>>
 readMatchingHead(ForwardedRequest &f);
 
 /// Reads a body to its end; none when it broke off.
 asio::awaitable<std::optional<std::string>> readBody(ForwardedRequest &f);
 
 /// Says how a whole answer ends its attempt.
-AttemptEnd classifyResponse(const ServerAnswer &answer);
+AttemptOutcome classifyResponse(const ServerResponse &answer);
 
 /// Asks the policy what follows an attempt.
 Step decideNextStep(ForwardedRequest &f, const Attempt &attempt,
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -21,8 +21,7 @@
 base::Duration expectedStreamDuration(const ForwardedRequest &f) {
   if (f.MatchedRoute->Kind != RequestKind::Stream)
     return base::Duration(0);
-  const double tokens =
-      std::min(f.Request.ExpectedTokens, f.Request.MostTokens);
+  const double tokens = std::min(f.Request.ExpectedTokens, f.Request.MaxTokens);
   return std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double, std::milli>(tokens * MsPerToken));
 }
@@ -31,12 +30,12 @@
 
 asio::awaitable<void> Forwarder::serve(http::Request http, http::Exchange &x) {
   auto f = std::make_shared<ForwardedRequest>(
-      Ctx, Ctx.Codec.ReadRequest(std::move(http)));
+      Ctx, Ctx.Codec.DecodeRequest(std::move(http)));
   f->ReceivedAt = Ctx.now();
   if (Ctx.IsLeaving)
     x.closeAfterResponse();
   if (auto answer = admit(*f)) {
-    Ctx.Codec.MarkAnswer(f->Request, *answer);
+    Ctx.Codec.AddAttemptId(f->Request, *answer);
     logRequestEnd(*f, answer->Status, "not admitted");
     co_await x.send(std::move(*answer));
     co_return;
@@ -51,7 +50,7 @@
     forwarding->HasCallerDisconnected = true;
     forwarding->closeConnection();
   });
-  Ctx.Budget.firstSend(f->ReceivedAt, f->ChosenService->Name);
+  Ctx.Budget.recordFirstSend(f->ReceivedAt, f->ChosenService->Name);
   if (f->MatchedRoute->Kind == RequestKind::Stream)
     co_await forwardStream(*f, x, Migrations);
   else
@@ -79,7 +78,7 @@
   if (!f.ChosenService)
     return makeRefusal(f, Verdict::NotRun, Reason::UnknownService);
   const base::milliseconds timeout =
-      std::min(f.Request.Patience.value_or(f.MatchedRoute->Timeout),
+      std::min(f.Request.Timeout.value_or(f.MatchedRoute->Timeout),
                f.MatchedRoute->Timeout);
   f.Deadline = f.ReceivedAt + timeout;
   // The stop would cut it: another gateway can carry it to its end.
@@ -90,7 +89,7 @@
 }
 
 const Server *Forwarder::chooseServer(ForwardedRequest &f) {
-  return Ctx.Placer.forCall(Ctx.now(), f.ChosenService->Name, f.TriedServers,
+  return Ctx.Placer.chooseForRequest(Ctx.now(), f.ChosenService->Name, f.TriedServers,
                             Ctx.Random);
 }
 
@@ -107,7 +106,7 @@
     co_return attempt;
   }
   ++f.Sends;
-  attempt.End = AttemptEnd::Broken;
+  attempt.End = AttemptOutcome::Incomplete;
   attempt.Cause = "no whole answer";
   sendTo(f, server, std::nullopt);
   auto head = co_await readMatchingHead(f);
@@ -133,9 +132,9 @@
     }
     const Server server = *next;
     const std::string id = server.Listed.Id;
-    Ctx.Servers.opened(id);
+    Ctx.Servers.requestStarted(id);
     Attempt attempt = co_await attemptCall(f, server);
-    Ctx.Servers.closed(id);
+    Ctx.Servers.requestEnded(id);
     f.closeConnection();
     f.TriedServers.push_back(id);
     recordOutcome(f, id, attempt);
@@ -145,7 +144,8 @@
                                     {"why", attempt.Cause}});
     next = chooseServer(f);
     const Step step = decideNextStep(f, attempt, next != nullptr);
-    if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
+    if (attempt.End == AttemptOutcome::Incomplete ||
+        attempt.End == AttemptOutcome::Failed)
       f.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -69,7 +69,7 @@
   for (const Server *server : ctx.Servers.all()) {
     if (server->IsLeaving)
       ++leaving;
-    else if (now < server->AvoidUntil)
+    else if (now < server->EjectedUntil)
       ++ejected;
     else
       ++ready;
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -42,7 +42,7 @@
 base::Result<std::unique_ptr<Gossip>> Gossip::start(GatewayContext &ctx) {
   std::unique_ptr<Gossip> gossip(new Gossip(ctx));
   Gossip &g = *gossip;
-  auto datagrams = Datagrams::open(ctx.Io, ctx.Settings.ControlListen);
+  auto datagrams = DatagramSocket::open(ctx.Io, ctx.Settings.ControlListen);
   if (!ok(datagrams))
     return error(datagrams);
   g.Socket = std::move(value(datagrams));
@@ -55,7 +55,7 @@
   g.ControlServer = std::move(value(control));
   ctx.NotifyPeers = [&g] { g.scheduleSend(); };
   const auto onDatagram = [&g](std::string_view bytes,
-                               const Datagrams::Sender &from) {
+                               const DatagramSocket::Sender &from) {
     g.handleDatagram(bytes, from);
   };
   asio::co_spawn(ctx.Io, g.Socket->receive(onDatagram), asio::detached);
@@ -94,14 +94,14 @@
 void Gossip::sendUpdate() {
   const base::Instant now = Ctx.now();
   wire::Gossip message = makeStatusMessage();
-  const std::vector<LedgerRun> runs = Ctx.Runs.ownRuns();
-  const RunNews delta = RunDeltas.newsOf(runs);
+  const std::vector<TrackedRun> runs = Ctx.Runs.ownRuns();
+  const RunDelta delta = RunDeltas.nextDelta(runs);
   if (now - FullStateSentAt >= FullStateInterval) {
     FullStateSentAt = now;
     addFullState(message, runs);
   } else {
     message.set_is_news(true);
-    for (const LedgerRun &run : delta.Changed)
+    for (const TrackedRun &run : delta.Changed)
       *message.add_runs() = toWire(run);
     for (const RunId id : delta.Ended)
       message.add_ended_runs(id);
@@ -121,21 +121,22 @@
   const base::Instant from =
       Ctx.hasStoreContact() ? Ctx.ListReadAt : Ctx.ListConfirmedAt;
   message.set_list_age_ms(static_cast<std::uint64_t>(base::toMs(now - from)));
-  message.set_steady_ms(
-      static_cast<std::uint64_t>(base::toMs(now - Ctx.Servers.steadySince())));
+  message.set_steady_ms(static_cast<std::uint64_t>(
+      base::toMs(now - Ctx.Servers.storeStableSince())));
   message.set_list_digest(Ctx.Servers.digest());
   message.set_watches_list(Ctx.hasStoreContact());
-  for (const ServerLife &life : Ctx.Servers.leaving(now)) {
+  for (const ServerInstance &life : Ctx.Servers.leaving(now)) {
     wire::ServerLife &out = *message.add_leaving_servers();
     out.set_id(life.Id);
-    out.set_born_ms(static_cast<std::uint64_t>(life.BornAt.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(life.StartedAt.count()));
   }
-  for (const AvoidedServer &avoided : Ctx.Servers.avoided(now)) {
+  for (const EjectedServer &avoided : Ctx.Servers.ejected(now)) {
     wire::Avoided &out = *message.add_avoided();
     out.set_server(avoided.Id);
-    out.set_broken_answers(static_cast<std::uint32_t>(avoided.BrokenAnswers));
-    out.set_left_ms(static_cast<std::uint64_t>(avoided.Left.count()));
-    out.set_born_ms(static_cast<std::uint64_t>(avoided.BornAt.count()));
+    out.set_broken_answers(
+        static_cast<std::uint32_t>(avoided.IncompleteResponses));
+    out.set_left_ms(static_cast<std::uint64_t>(avoided.Remaining.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(avoided.StartedAt.count()));
   }
   return message;
 }
@@ -151,13 +152,13 @@
       *message.add_changed_servers() = toWire(*change.Listed);
     else
       *message.add_gone_servers() =
-          toWire(GoneServer{change.Id, change.Revision});
+          toWire(RemovedServer{change.Id, change.Revision});
   }
 }
 
 void Gossip::addFullState(wire::Gossip &message,
-                          std::span<const LedgerRun> runs) {
-  for (const LedgerRun &run : runs)
+                          std::span<const TrackedRun> runs) {
+  for (const TrackedRun &run : runs)
     *message.add_runs() = toWire(run);
   // Bytes between zones are paid for: addresses go with a part of the messages.
   if (FullStateCount++ % FullStatesPerPeerList != 0)
@@ -168,7 +169,7 @@
 
 void Gossip::broadcast(const wire::Gossip &message) {
   const std::string bytes = message.SerializeAsString();
-  for (const base::Endpoint &to : Ctx.GatewayPeers.due(Ctx.now()))
+  for (const base::Endpoint &to : Ctx.GatewayPeers.sendTargets(Ctx.now()))
     Socket->send(to, bytes);
 }
 
@@ -199,7 +200,7 @@
 
 /// Takes a sidecar's notice and answers with the gateways' addresses.
 void Gossip::handleSidecarNotice(const wire::Gossip &message,
-                                 const Datagrams::Sender &from) {
+                                 const DatagramSocket::Sender &from) {
   const base::Instant now = Ctx.now();
   Ctx.Servers.applyNotice(now, fromWire(message.notice()));
   wire::Gossip answer;
@@ -208,11 +209,11 @@
   answer.set_incarnation(Ctx.Incarnation);
   for (const Peer &peer : Ctx.GatewayPeers.live(now))
     answer.add_peers(base::toString(peer.Address));
-  Socket->answer(from, answer.SerializeAsString());
+  Socket->reply(from, answer.SerializeAsString());
 }
 
 void Gossip::handleDatagram(std::string_view datagram,
-                            const Datagrams::Sender &from) {
+                            const DatagramSocket::Sender &from) {
   wire::Gossip message;
   if (!message.ParseFromArray(datagram.data(),
                               static_cast<int>(datagram.size())))
@@ -222,14 +223,14 @@
     handleSidecarNotice(message, from);
     return;
   }
-  const Peers::Heard senderState = Ctx.GatewayPeers.heard(now, message);
-  if (senderState == Peers::Heard::Nothing)
+  const Peers::ReceiveResult senderState = Ctx.GatewayPeers.recordMessage(now, message);
+  if (senderState == Peers::ReceiveResult::Ignored)
     return;
   // Who has just started knows nothing yet.
-  if (senderState == Peers::Heard::Newcomer && !message.is_last()) {
+  if (senderState == Peers::ReceiveResult::NewInstance && !message.is_last()) {
     wire::Gossip all = makeStatusMessage();
     addFullState(all, Ctx.Runs.ownRuns());
-    Socket->answer(from, all.SerializeAsString());
+    Socket->reply(from, all.SerializeAsString());
   }
   applyRuns(now, message);
   applyServers(now, message);
@@ -237,29 +238,29 @@
 }
 
 void Gossip::applyRuns(base::Instant now, const wire::Gossip &message) {
-  std::vector<LedgerRun> runs;
+  std::vector<TrackedRun> runs;
   for (const wire::Run &run : message.runs())
     runs.push_back(fromWire(run));
   if (message.is_news())
-    Ctx.Runs.takePeerNews(
+    Ctx.Runs.applyPeerDelta(
         now, message.address(), runs,
         {message.ended_runs().begin(), message.ended_runs().end()});
   else
-    Ctx.Runs.takePeer(now, message.address(), std::move(runs));
+    Ctx.Runs.applyPeerSnapshot(now, message.address(), std::move(runs));
 }
 
 void Gossip::applyServers(base::Instant now, const wire::Gossip &message) {
   for (const wire::ServerLife &life : message.leaving_servers())
     Ctx.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
   for (const wire::Avoided &avoided : message.avoided())
-    Ctx.Servers.applyAvoided(now, {avoided.server(),
+    Ctx.Servers.applyEjection(now, {avoided.server(),
                                    static_cast<int>(avoided.broken_answers()),
                                    milliseconds(avoided.left_ms()),
                                    milliseconds(avoided.born_ms())});
   // An outage of the store is one that affects every gateway, not a loss of
   // this gateway's own path to it.
   if (message.watches_list())
-    Ctx.Servers.noteStoreContact(now - milliseconds(message.list_age_ms()),
+    Ctx.Servers.recordStoreContact(now - milliseconds(message.list_age_ms()),
                                  now - milliseconds(message.steady_ms()));
   for (const ListedServer &listed : fromWire(message.changed_servers()))
     Ctx.Servers.put(now, listed, Evidence::Gateway);
@@ -301,7 +302,7 @@
 }
 
 void Gossip::recordFetchFailure(const Peer &from, std::string_view what) {
-  Ctx.GatewayPeers.failed(Ctx.now(), from);
+  Ctx.GatewayPeers.recordFetchFailure(Ctx.now(), from);
   Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
 }
 
@@ -328,7 +329,7 @@
   }
   const base::Instant now = Ctx.now();
   const base::Instant listFrom = now - milliseconds(list.age_ms());
-  Ctx.Servers.replaceAll(now, fromWire(list), Evidence::Gateway);
+  Ctx.Servers.applySnapshot(now, fromWire(list), Evidence::Gateway);
   Ctx.ListRevision = std::max<std::uint64_t>(Ctx.ListRevision, list.revision());
   Ctx.ListConfirmedAt = std::max(Ctx.ListConfirmedAt, listFrom);
   Ctx.Log.write("servers-from-peer", {{"peer", from.Name},
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -4,8 +4,8 @@
 
 #include "gateway-context.h"
 
-#include "drumlanding/gateway/datagrams.h"
-#include "drumlanding/gateway/told-runs.h"
+#include "drumlanding/gateway/datagram-socket.h"
+#include "drumlanding/gateway/run-delta.h"
 #include "drumlanding/http/http.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -32,12 +32,12 @@
   void sendUpdate();
   wire::Gossip makeStatusMessage();
   void addListDelta(wire::Gossip &message);
-  void addFullState(wire::Gossip &message, std::span<const LedgerRun> runs);
+  void addFullState(wire::Gossip &message, std::span<const TrackedRun> runs);
   void broadcast(const wire::Gossip &message);
-  void handleDatagram(std::string_view datagram, const Datagrams::Sender &from);
+  void handleDatagram(std::string_view datagram, const DatagramSocket::Sender &from);
   void requestSidecarNotice(const Server &server);
   void handleSidecarNotice(const wire::Gossip &message,
-                           const Datagrams::Sender &from);
+                           const DatagramSocket::Sender &from);
   void applyRuns(base::Instant now, const wire::Gossip &message);
   void applyServers(base::Instant now, const wire::Gossip &message);
   void adoptListAge(base::Instant now, const wire::Gossip &message);
@@ -48,11 +48,11 @@
   asio::awaitable<void> fetchServers(Peer from);
 
   GatewayContext &Ctx;
-  std::unique_ptr<Datagrams> Socket;
+  std::unique_ptr<DatagramSocket> Socket;
   asio::steady_timer SendTimer;
   /// News are to be told: at the start, that this gateway is there.
   bool IsSendDue = true;
-  ToldRuns RunDeltas;
+  RunDeltaTracker RunDeltas;
   /// When all was told last, not only news.
   base::Instant FullStateSentAt{};
   /// Messages with all so far.
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -3,7 +3,7 @@
 #include "gateway-metrics.h"
 
 #include "drumlanding/daemon/sleep.h"
-#include "drumlanding/gateway/move-plan.h"
+#include "drumlanding/gateway/migration-order.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -15,7 +15,7 @@
 
 using base::milliseconds;
 using daemon::sleepFor;
-using Outcome = MoveAnswer::Outcome;
+using Outcome = CopyResponse::Outcome;
 
 /// A copy that takes this much longer than its bytes need has waited behind
 /// others, and so would the last one.
@@ -48,26 +48,26 @@
 std::uint32_t StreamRun::generatedTokens() const {
   const int stride =
       F.ChosenService->Engine ? F.ChosenService->Engine->TokensPerEvent : 1;
-  return static_cast<std::uint32_t>(Events.events() *
+  return static_cast<std::uint32_t>(Events.eventCount() *
                                     static_cast<std::uint64_t>(stride));
 }
 
-LedgerRun StreamRun::trackedRun() const {
-  LedgerRun run;
+TrackedRun StreamRun::trackedRun() const {
+  TrackedRun run;
   run.Id = Id;
   run.Server = Server;
   run.CopyServer = CopyServer;
   run.PromptTokens = F.Request.PromptTokens;
   run.ExpectedTokens = F.Request.ExpectedTokens;
-  run.MostTokens = F.Request.MostTokens;
-  run.MadeTokens = generatedTokens();
-  run.HasBegun = run.MadeTokens > 0;
+  run.MaxTokens = F.Request.MaxTokens;
+  run.GeneratedTokens = generatedTokens();
+  run.HasFirstToken = run.GeneratedTokens > 0;
   return run;
 }
 
 Demand StreamRun::remainingDemand() const {
-  const LedgerRun run = trackedRun();
-  return {run.PromptTokens + run.MadeTokens, expectedRemaining(run)};
+  const TrackedRun run = trackedRun();
+  return {run.PromptTokens + run.GeneratedTokens, expectedRemainingTokens(run)};
 }
 
 void Migrator::add(const StreamRunPointer &run) { Runs.push_back(run); }
@@ -87,7 +87,7 @@
 void Migrator::migrateIfLeaving(const StreamRunPointer &run) {
   const Server *source = Ctx.Servers.find(run->Server);
   const auto &engine = run->F.ChosenService->Engine;
-  if (!source || !source->IsLeaving || !engine || !engine->CanMove ||
+  if (!source || !source->IsLeaving || !engine || !engine->CanMigrate ||
       run->IsMigrating || run->HasEnded)
     return;
   run->IsMigrating = true;
@@ -96,8 +96,8 @@
 
 base::Instant Migrator::shutdownAt(const Server &server) const {
   const Server *known = Ctx.Servers.find(server.Listed.Id);
-  if (known && known->GoneAt != base::Instant{})
-    return known->GoneAt;
+  if (known && known->ShutdownAt != base::Instant{})
+    return known->ShutdownAt;
   return server.LeavingSince + (known && known->IsPlannedLeave
                                     ? Ctx.Settings.DrainTime
                                     : MinShutdownNotice);
@@ -106,9 +106,9 @@
 base::Duration Migrator::estimateCopyTime(const StreamRun &run,
                                           const Server &source,
                                           const Server &destination) const {
-  const LedgerRun known = run.trackedRun();
+  const TrackedRun known = run.trackedRun();
   return copyTime(*run.F.ChosenService->Engine,
-                  known.PromptTokens + known.MadeTokens,
+                  known.PromptTokens + known.GeneratedTokens,
                   source.Listed.Zone != destination.Listed.Zone);
 }
 
@@ -119,8 +119,8 @@
   std::size_t previousCount = 0;
   base::Instant changedAt = Ctx.now();
   while (run->isRunningOn(sourceId) && Ctx.Servers.find(sourceId)) {
-    const std::vector<LedgerRun> runsOnSource = Ctx.Runs.runsOn(sourceId);
-    if (isTurn(runsOnSource, run->trackedRun()))
+    const std::vector<TrackedRun> runsOnSource = Ctx.Runs.runsOn(sourceId);
+    if (isNextToMigrate(runsOnSource, run->trackedRun()))
       co_return;
     const base::Instant now = Ctx.now();
     if (runsOnSource.size() != previousCount)
@@ -145,25 +145,25 @@
     check.cancel();
 }
 
-asio::awaitable<MoveAnswer> Migrator::copyKvCache(StreamRunPointer run,
+asio::awaitable<CopyResponse> Migrator::copyKvCache(StreamRunPointer run,
                                                   Server source,
                                                   Server destination,
                                                   bool isLast) {
-  const MoveOrder order{run->F.Request.AttemptId, destination.Listed.Address,
-                        isLast};
-  http::Request request = Ctx.Codec.ToMove(order);
+  const CopyRequest order{run->F.Request.AttemptId, destination.Listed.Address,
+                          isLast};
+  http::Request request = Ctx.Codec.EncodeCopyRequest(order);
   const base::Instant startedAt = Ctx.now();
   http::FetchResult fetched = co_await http::fetch(
       source.Listed.Address, std::move(request), CopyTimeout);
-  const MoveAnswer answer = Ctx.Codec.ReadMove(fetched.Outcome);
+  const CopyResponse answer = Ctx.Codec.DecodeCopyResponse(fetched.Outcome);
   countMigrationStep(Ctx.Metrics, isLast ? "copied last" : "copied",
-                     answer.What == Outcome::Copied);
+                     answer.Code == Outcome::Copied);
   Ctx.Log.write("move-copied", {{"request", run->F.Request.AttemptId},
                                 {"from", source.Listed.Id},
                                 {"to", destination.Listed.Id},
                                 {"last", isLast},
-                                {"outcome", static_cast<int>(answer.What)},
-                                {"events", answer.EventsMade},
+                                {"outcome", static_cast<int>(answer.Code)},
+                                {"events", answer.EventsGenerated},
                                 {"ms", base::toMs(Ctx.now() - startedAt)}});
   co_return answer;
 }
@@ -179,16 +179,16 @@
     // With too little time for a copy and its rest, the last must do alone.
     if (startedAt + expected + FinalCopyTime > shutdownAt(source))
       co_return true;
-    const MoveAnswer answer =
+    const CopyResponse answer =
         co_await copyKvCache(run, source, destination, false);
     if (!run->isRunningOn(source.Listed.Id)) {
-      if (answer.What == Outcome::Copied)
+      if (answer.Code == Outcome::Copied)
         co_await freeCopy(source.Listed.Address, answer.Handle);
       co_return false;
     }
-    if (answer.What == Outcome::NoRoom || answer.What == Outcome::Failed)
+    if (answer.Code == Outcome::NoRoom || answer.Code == Outcome::Failed)
       co_return false;
-    const bool isCopied = answer.What == Outcome::Copied;
+    const bool isCopied = answer.Code == Outcome::Copied;
     if (isCopied && Ctx.now() - startedAt < expected + QueueingSlack)
       co_return true;
     if (isCopied)
@@ -204,13 +204,13 @@
   if (run->HasEnded)
     return;
   run->CopyServer = std::move(server);
-  Ctx.Runs.begin(run->trackedRun());
+  Ctx.Runs.upsert(run->trackedRun());
   Ctx.NotifyPeers();
 }
 
 asio::awaitable<void> Migrator::freeCopy(base::Endpoint at,
                                          std::string handle) {
-  http::Request request = Ctx.Codec.ToFreeCopy(handle);
+  http::Request request = Ctx.Codec.EncodeReleaseCopy(handle);
   co_await http::fetch(at, std::move(request), FreeCopyTimeout);
 }
 
@@ -219,10 +219,10 @@
                            const std::string &next) {
   if (run->HasEnded)
     return;
-  LedgerRun moved = run->trackedRun();
+  TrackedRun moved = run->trackedRun();
   moved.Server = next;
   moved.CopyServer.clear();
-  Ctx.Runs.begin(moved);
+  Ctx.Runs.upsert(moved);
   Ctx.NotifyPeers();
 }
 
@@ -234,13 +234,13 @@
   const bool isOnSource = run->isRunningOn(source.Listed.Id);
   if (!isOnSource || !isCopied)
     co_return !isOnSource;
-  const MoveAnswer answer =
+  const CopyResponse answer =
       co_await copyKvCache(run, source, destination, true);
   if (answer.Handle.empty())
     co_return false;
   // When the last copy failed, the source has stopped and kept the memory.
-  const bool isComplete = answer.What == Outcome::Copied;
-  run->ResumeFrom = Continuation{source.Listed.Address, answer.Handle, 0};
+  const bool isComplete = answer.Code == Outcome::Copied;
+  run->ResumeFrom = ResumePoint{source.Listed.Address, answer.Handle, 0};
   run->ResumeServer = isComplete ? destination.Listed.Id : source.Listed.Id;
   // Not before: the next run's copy would hold up this last, short one.
   releaseTurn(run, run->ResumeServer);
@@ -256,7 +256,7 @@
     if (!source)
       break;
     const Server from = *source;
-    const Choice choice = Ctx.Placer.forMove(
+    const Choice choice = Ctx.Placer.chooseForMigration(
         Ctx.now(), *run->F.ChosenService, run->remainingDemand(), from, tried);
     if (!choice.Chosen)
       break;
--- a/src/gateway/migrator.h
+++ b/src/gateway/migrator.h
@@ -31,7 +31,7 @@
   /// A move is under way: the end of the connection is part of it.
   bool IsMigrating = false;
   /// The source has stopped, or will have: the stream goes on from here.
-  std::optional<Continuation> ResumeFrom;
+  std::optional<ResumePoint> ResumeFrom;
   std::string ResumeServer;
   base::Instant StoppedAt{};
   /// Cancelled when a move ends.
@@ -42,7 +42,7 @@
     return !HasEnded && Server == server;
   }
   std::uint32_t generatedTokens() const;
-  LedgerRun trackedRun() const;
+  TrackedRun trackedRun() const;
   Demand remainingDemand() const;
 };
 using StreamRunPointer = std::shared_ptr<StreamRun>;
@@ -70,7 +70,7 @@
   asio::awaitable<void> waitForRunChange();
   asio::awaitable<bool> copyWhileRunning(StreamRunPointer run, Server source,
                                          Server destination);
-  asio::awaitable<MoveAnswer> copyKvCache(StreamRunPointer run, Server source,
+  asio::awaitable<CopyResponse> copyKvCache(StreamRunPointer run, Server source,
                                           Server destination, bool isLast);
   asio::awaitable<void> freeCopy(base::Endpoint at, std::string handle);
   base::Instant shutdownAt(const Server &server) const;
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -22,7 +22,8 @@
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source)
+             GatewaySettings settings, ProtocolCodec dialect,
+             StoreReader source)
     : Ctx(io, clock, std::move(settings), std::move(dialect),
           std::move(source)),
       Migrations(Ctx), RequestForwarder(Ctx, Migrations) {
@@ -32,7 +33,7 @@
       Ctx.NotifyPeers();
   };
   Ctx.Runs.OnChange = [this] { Migrations.onRunsChanged(); };
-  Ctx.Servers.OnOutageOver = [this](base::Duration length) {
+  Ctx.Servers.OnOutageEnd = [this](base::Duration length) {
     Ctx.Log.write("store-outage-over", {{"ms", base::toMs(length)}});
   };
   Ctx.Servers.OnChange = [this](std::string_view event, Evidence evidence,
@@ -45,9 +46,11 @@
   };
 }
 
-base::Result<std::unique_ptr<Shell>>
-Shell::start(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source) {
+base::Result<std::unique_ptr<Shell>> Shell::start(asio::io_context &io,
+                                                  const base::Clock &clock,
+                                                  GatewaySettings settings,
+                                                  ProtocolCodec dialect,
+                                                  StoreReader source) {
   std::unique_ptr<Shell> shell(new Shell(
       io, clock, std::move(settings), std::move(dialect), std::move(source)));
   if (auto r = shell->listen(); !ok(r))
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -86,7 +86,8 @@
 
 void recordListRead(GatewayContext &ctx, base::Instant now) {
   const bool hasFailed = ctx.ListReadFailedAt > ctx.ListReadAt;
-  ctx.Servers.noteStoreContact(now, hasFailed ? ctx.ListReadFailedAt : now);
+  ctx.Servers.recordStoreContact(now,
+                                   hasFailed ? ctx.ListReadFailedAt : now);
   ctx.ListReadAt = now;
   ctx.ListConfirmedAt = now;
 }
@@ -134,7 +135,7 @@
   }
   const base::Instant now = ctx.now();
   recordListRead(ctx, now);
-  ctx.Servers.replaceAll(now, all);
+  ctx.Servers.applySnapshot(now, all);
   ctx.ListRevision = std::max(ctx.ListRevision, all.Revision);
 }
 
@@ -151,7 +152,7 @@
 
 /// Waits for a change of the config. A long watch ends as soon as this gateway
 /// has to follow the store itself: its connection may be dead.
-Source::Answer<ConfigText> waitForConfigChange(GatewayContext &ctx,
+StoreReader::AsyncResult<ConfigText> waitForConfigChange(GatewayContext &ctx,
                                                std::uint64_t revision) {
   if (ctx.WatchesList) {
     const milliseconds wait = configWatchWait(ctx.Settings.MaxConfigApplyTime);
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -39,7 +39,7 @@
   asio::awaitable<void> forwardEvents();
   asio::awaitable<bool> sendToCaller(std::string events);
   asio::awaitable<bool> resume();
-  asio::awaitable<bool> resumeAt(Server server, Continuation from);
+  asio::awaitable<bool> resumeAt(Server server, ResumePoint from);
   void registerRun(const std::string &server);
   void unregisterRun();
   void notifyIfLeaving();
@@ -50,7 +50,7 @@
   http::Exchange &X;
   Migrator &Migrations;
   StreamRunPointer Run;
-  ServerAnswer Head;
+  ServerResponse Head;
   bool IsHeadSent = false;
   base::Instant LastEventAt{};
   /// From the request to its first event; 0 before that.
@@ -61,15 +61,15 @@
 void StreamForwarder::registerRun(const std::string &server) {
   Run->Server = server;
   Run->CopyServer.clear();
-  LedgerRun run = Run->trackedRun();
-  run.Since = Ctx.now();
-  Ctx.Runs.begin(run);
+  TrackedRun run = Run->trackedRun();
+  run.StartedAt = Ctx.now();
+  Ctx.Runs.upsert(run);
   if (Ctx.NotifyPeers)
     Ctx.NotifyPeers();
 }
 
 void StreamForwarder::unregisterRun() {
-  Ctx.Runs.end(Run->Id);
+  Ctx.Runs.remove(Run->Id);
   notifyIfLeaving();
   Run->Server.clear();
 }
@@ -89,7 +89,7 @@
     co_return attempt;
   }
   ++F.Sends;
-  attempt.End = AttemptEnd::Broken;
+  attempt.End = AttemptOutcome::Incomplete;
   attempt.Cause = "no head";
   sendTo(F, server, std::nullopt);
   auto head = co_await readMatchingHead(F);
@@ -98,11 +98,11 @@
   Head = std::move(*head);
   attempt.End = classifyResponse(Head);
   attempt.Cause = "answered";
-  if (attempt.End == AttemptEnd::Served && Head.Status == HttpOk)
+  if (attempt.End == AttemptOutcome::Served && Head.Status == HttpOk)
     co_return attempt;
   auto body = co_await readBody(F);
   if (!body) {
-    attempt.End = AttemptEnd::Broken;
+    attempt.End = AttemptOutcome::Incomplete;
     attempt.Cause = "a failure that is not whole";
     co_return attempt;
   }
@@ -114,7 +114,7 @@
 asio::awaitable<bool> StreamForwarder::openStream() {
   for (;;) {
     const Demand demand{F.Request.PromptTokens, F.Request.ExpectedTokens};
-    const Choice choice = Ctx.Placer.forGeneration(Ctx.now(), *F.ChosenService,
+    const Choice choice = Ctx.Placer.chooseForGeneration(Ctx.now(), *F.ChosenService,
                                                    demand, F.TriedServers);
     if (!choice.Chosen) {
       logStreamEnd("no server");
@@ -134,13 +134,13 @@
                              {"prompt_tokens", F.Request.PromptTokens},
                              {"expected_tokens", F.Request.ExpectedTokens}});
     registerRun(id);
-    Ctx.Servers.opened(id);
+    Ctx.Servers.requestStarted(id);
     Attempt attempt = co_await attemptOpen(server);
-    Ctx.Servers.closed(id);
+    Ctx.Servers.requestEnded(id);
     F.TriedServers.push_back(id);
-    bool isOpen = attempt.End == AttemptEnd::Served && !attempt.Response;
+    bool isOpen = attempt.End == AttemptOutcome::Served && !attempt.Response;
     // A move may have taken the run away before it answered.
-    if (attempt.End == AttemptEnd::Broken)
+    if (attempt.End == AttemptOutcome::Incomplete)
       isOpen = co_await resume();
     if (isOpen) {
       recordOutcome(F, id, attempt);
@@ -151,10 +151,11 @@
     F.closeConnection();
     const bool hasServer =
         Ctx.Placer
-            .forGeneration(Ctx.now(), *F.ChosenService, demand, F.TriedServers)
+            .chooseForGeneration(Ctx.now(), *F.ChosenService, demand, F.TriedServers)
             .Chosen != nullptr;
     const Step step = decideNextStep(F, attempt, hasServer);
-    if (attempt.End == AttemptEnd::Broken || attempt.End == AttemptEnd::Failed)
+    if (attempt.End == AttemptOutcome::Incomplete ||
+        attempt.End == AttemptOutcome::Failed)
       F.MayHaveRun = true;
     if (step == Step::TryAnother)
       continue;
@@ -184,7 +185,7 @@
   else
     MaxPause = std::max(MaxPause, now - LastEventAt);
   LastEventAt = now;
-  Ctx.Runs.progress(Run->Id, Run->generatedTokens());
+  Ctx.Runs.updateProgress(Run->Id, Run->generatedTokens());
   if (!IsHeadSent)
     notifyIfLeaving();
   if (!IsHeadSent) {
@@ -206,7 +207,7 @@
       }
       continue;
     }
-    const bool isEnd = ok(piece) && !Run->Events.hasRest();
+    const bool isEnd = ok(piece) && !Run->Events.hasPartialEvent();
     if (isEnd) {
       if (!IsHeadSent)
         co_await X.beginBody(Head.Status, Head.Headers);
@@ -237,7 +238,7 @@
   }
   if (F.isAborted() || !Run->ResumeFrom)
     co_return false;
-  Continuation from = *Run->ResumeFrom;
+  ResumePoint from = *Run->ResumeFrom;
   Run->ResumeFrom.reset();
   const std::string source = Run->Server;
   const Server *server = Ctx.Servers.find(Run->ResumeServer);
@@ -254,12 +255,12 @@
 }
 
 asio::awaitable<bool> StreamForwarder::resumeAt(Server server,
-                                                Continuation from) {
+                                                  ResumePoint from) {
   F.closeConnection();
   F.Connection = co_await connectTo(F, server);
   if (!F.Connection || F.isAborted())
     co_return false;
-  Run->Events.restart();
+  Run->Events.discardPartialEvent();
   from.LastEventId = Run->Events.lastId().value_or(0);
   sendTo(F, server, from);
   const auto head = co_await readMatchingHead(F);
@@ -285,7 +286,7 @@
                                  {"route", F.MatchedRoute->Name},
                                  {"server", Run->Server},
                                  {"how", how},
-                                 {"events", Run->Events.events()},
+                                 {"events", Run->Events.eventCount()},
                                  {"longest_pause_ms", base::toMs(MaxPause)},
                                  {"ms", base::toMs(Ctx.now() - F.ReceivedAt)}});
   countStream(Ctx.Metrics, {F.MatchedRoute->Name, how, TimeToFirstEvent,
--- a/test/platform-test.cc
+++ b/test/platform-test.cc
@@ -43,40 +43,40 @@
 }
 
 TEST(ProtocolCodec, ParsesCallerHeaders) {
-  const gateway::Dialect codec = makeProtocolCodec();
-  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.DecodeRequest(sampleRequest());
   EXPECT_EQ(r.AttemptId, "9c41");
   EXPECT_EQ(r.Host, "a.example");
   EXPECT_EQ(r.Key, "secret");
-  EXPECT_EQ(r.Patience, milliseconds(3'000));
+  EXPECT_EQ(r.Timeout, milliseconds(3'000));
   EXPECT_EQ(r.PromptTokens, 1'460U);
-  EXPECT_EQ(r.MostTokens, 80U);
+  EXPECT_EQ(r.MaxTokens, 80U);
   EXPECT_EQ(r.ExpectedTokens, 33U);
 }
 
 TEST(ProtocolCodec, InvalidNumbersAreIgnored) {
-  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
   http::Request request{"GET",
                         "/",
                         {{"X-Deadline-Ms", "-5"},
                          {"X-Token-Usage", "many"},
                          {"Length-Hint", "9x"}},
                         {}};
-  const gateway::CallerRequest r = codec.ReadRequest(std::move(request));
-  EXPECT_FALSE(r.Patience);
+  const gateway::CallerRequest r = codec.DecodeRequest(std::move(request));
+  EXPECT_FALSE(r.Timeout);
   EXPECT_EQ(r.PromptTokens, 0U);
   EXPECT_EQ(r.ExpectedTokens, 0U);
   EXPECT_TRUE(r.AttemptId.empty());
 }
 
 TEST(ProtocolCodec, StripsApiKeyAndForgedGatewayHeaders) {
-  const gateway::Dialect codec = makeProtocolCodec();
-  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
-  gateway::ServerOrder order;
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.DecodeRequest(sampleRequest());
+  gateway::RequestMetadata order;
   order.ServerId = "i-1";
-  order.TimeLeft = milliseconds(2'500);
+  order.TimeRemaining = milliseconds(2'500);
   order.Organisation = "school";
-  const http::Request out = codec.ToServer(r, order);
+  const http::Request out = codec.EncodeServerRequest(r, order);
   EXPECT_EQ(out.Method, "POST");
   EXPECT_EQ(out.Target, "/shop/2f?x=1");
   EXPECT_EQ(out.Body, "body");
@@ -95,22 +95,23 @@
 }
 
 TEST(ProtocolCodec, PublicRequestsCarryNoOrganisation) {
-  const gateway::Dialect codec = makeProtocolCodec();
-  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
-  const http::Request out = codec.ToServer(r, {});
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.DecodeRequest(sampleRequest());
+  const http::Request out = codec.EncodeServerRequest(r, {});
   EXPECT_TRUE(headerValues(out, "X-Tenant").empty());
 }
 
 TEST(ProtocolCodec, ResumePointReplacesLastEventId) {
-  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
   http::Request request = sampleRequest();
   request.Headers.push_back({"Last-Event-Id", "1"});
-  const gateway::CallerRequest r = codec.ReadRequest(std::move(request));
-  EXPECT_EQ(headerValues(codec.ToServer(r, {}), "Last-Event-Id").size(), 1U);
-  gateway::ServerOrder order;
-  order.From = gateway::Continuation{{"10.0.0.7", 80}, "h1", 41};
+  const gateway::CallerRequest r = codec.DecodeRequest(std::move(request));
+  EXPECT_EQ(headerValues(codec.EncodeServerRequest(r, {}), "Last-Event-Id").size(),
+            1U);
+  gateway::RequestMetadata order;
+  order.ResumeFrom = gateway::ResumePoint{{"10.0.0.7", 80}, "h1", 41};
   order.Priority = 2;
-  const http::Request out = codec.ToServer(r, order);
+  const http::Request out = codec.EncodeServerRequest(r, order);
   using Values = std::vector<std::string_view>;
   EXPECT_EQ(headerValues(out, "Last-Event-Id"), Values{"41"});
   EXPECT_EQ(headerValues(out, "Kv-From"), Values{"10.0.0.7:80/h1"});
@@ -118,61 +119,65 @@
 }
 
 TEST(ProtocolCodec, ClassifiesServerResponses) {
-  const gateway::Dialect codec = makeProtocolCodec();
-  const gateway::CallerRequest r = codec.ReadRequest(sampleRequest());
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
+  const gateway::CallerRequest r = codec.DecodeRequest(sampleRequest());
   http::ResponseHead head{200,
                           {{"X-Attempt-Id", "9c41"},
                            {"X-Served-Stamp", "s"},
                            {"Connection", "close"},
                            {"Content-Length", "9"},
                            {"Content-Type", "text/plain"}}};
-  gateway::ServerAnswer a = codec.ReadAnswer(r, head);
-  EXPECT_TRUE(a.IsOwn && a.IsStamped);
+  gateway::ServerResponse a = codec.DecodeResponseHead(r, head);
+  EXPECT_TRUE(a.MatchesAttempt && a.IsStamped);
   EXPECT_FALSE(a.HasNotRun);
   EXPECT_EQ(http::findHeader(a.Headers, "content-type"), "text/plain");
   EXPECT_EQ(http::findHeader(a.Headers, "X-Served-Stamp"), "s");
   EXPECT_EQ(http::findHeader(a.Headers, "Content-Length"), "");
   head.Headers.push_back({"Content-Encoding", "gzip"});
-  EXPECT_FALSE(codec.ReadAnswer(r, head).IsStamped);
-  EXPECT_FALSE(codec.ReadAnswer(r, {200, {{"X-Attempt-Id", "other"}}}).IsOwn);
-  a = codec.ReadAnswer(r, {503, {{"X-Not-Run", "1"}}});
-  EXPECT_TRUE(a.HasNotRun && !a.IsOtherServer);
-  a = codec.ReadAnswer(r, {421, {}});
-  EXPECT_TRUE(a.HasNotRun && a.IsOtherServer);
+  EXPECT_FALSE(codec.DecodeResponseHead(r, head).IsStamped);
+  EXPECT_FALSE(codec.DecodeResponseHead(r, {200, {{"X-Attempt-Id", "other"}}})
+                   .MatchesAttempt);
+  a = codec.DecodeResponseHead(r, {503, {{"X-Not-Run", "1"}}});
+  EXPECT_TRUE(a.HasNotRun && !a.IsWrongServer);
+  a = codec.DecodeResponseHead(r, {421, {}});
+  EXPECT_TRUE(a.HasNotRun && a.IsWrongServer);
   // Without the word a refusal proves nothing.
-  EXPECT_FALSE(codec.ReadAnswer(r, {503, {}}).HasNotRun);
+  EXPECT_FALSE(codec.DecodeResponseHead(r, {503, {}}).HasNotRun);
 }
 
 TEST(ProtocolCodec, EncodesCopyRequestsAndDecodesResponses) {
-  const gateway::Dialect codec = makeProtocolCodec();
-  const http::Request ask = codec.ToMove({"9c41", {"10.0.0.2", 81}, true});
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
+  const http::Request ask = codec.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, true});
   EXPECT_EQ(ask.Method, "POST");
   EXPECT_NE(ask.Body.find("\"10.0.0.2:81\""), std::string::npos);
   EXPECT_NE(ask.Body.find("\"last\":true"), std::string::npos);
-  EXPECT_EQ(codec.ToMove({"9c41", {"10.0.0.2", 81}, false}).Body.find("last"),
+  EXPECT_EQ(codec.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, false})
+                .Body.find("last"),
             std::string::npos);
-  using Outcome = gateway::MoveAnswer::Outcome;
+  using Outcome = gateway::CopyResponse::Outcome;
   const auto read = [&](int status, std::string body) {
-    return codec.ReadMove(http::Response{status, "", std::move(body), {}});
+    return codec.DecodeCopyResponse(
+        http::Response{status, "", std::move(body), {}});
   };
   const auto copied = read(200, R"({"handle":"h7","made":12})");
-  EXPECT_EQ(copied.What, Outcome::Copied);
+  EXPECT_EQ(copied.Code, Outcome::Copied);
   EXPECT_EQ(copied.Handle, "h7");
-  EXPECT_EQ(copied.EventsMade, 12U);
+  EXPECT_EQ(copied.EventsGenerated, 12U);
   EXPECT_EQ(read(200, R"({"handle":7})").Handle, "7");
-  EXPECT_EQ(read(404, "").What, Outcome::NoSuchRun);
-  EXPECT_EQ(read(409, "").What, Outcome::Busy);
+  EXPECT_EQ(read(404, "").Code, Outcome::NoSuchRun);
+  EXPECT_EQ(read(409, "").Code, Outcome::Busy);
   EXPECT_EQ(read(503, R"({"handle":"h7"})").Handle, "h7");
-  EXPECT_EQ(read(500, "nonsense").What, Outcome::Failed);
+  EXPECT_EQ(read(500, "nonsense").Code, Outcome::Failed);
   EXPECT_EQ(
-      codec.ReadMove(base::Error{base::ErrorCode::Unavailable, "", ""}).What,
+      codec.DecodeCopyResponse(base::Error{base::ErrorCode::Unavailable, "", ""})
+          .Code,
       Outcome::Failed);
 }
 
 TEST(ProtocolCodec, DecodesServerReports) {
-  const gateway::Dialect codec = makeProtocolCodec();
+  const gateway::ProtocolCodec codec = makeProtocolCodec();
   const auto read = [&](std::string body) {
-    return codec.ReadReport(http::Response{200, "", std::move(body), {}});
+    return codec.DecodeReport(http::Response{200, "", std::move(body), {}});
   };
   auto report = read(R"({"state":"draining","leaves_ms":1700.5,"waiting":1,
                          "running":12,"kvUsed":41000,"kvTotal":90000})");
@@ -184,10 +189,10 @@
   ASSERT_TRUE(ok(report));
   EXPECT_FALSE(base::value(report).IsLeaving);
   EXPECT_FALSE(base::value(report).LeavesIn);
-  EXPECT_EQ(base::value(report).BornAt, milliseconds(0));
+  EXPECT_EQ(base::value(report).StartedAt, milliseconds(0));
   report = read(R"({"state":"ready","born":1777897410029})");
   ASSERT_TRUE(ok(report));
-  EXPECT_EQ(base::value(report).BornAt.count(), 1'777'897'410'029);
+  EXPECT_EQ(base::value(report).StartedAt.count(), 1'777'897'410'029);
   EXPECT_FALSE(ok(read("nonsense")));
   EXPECT_FALSE(ok(read(R"({"running":"many"})")));
   EXPECT_FALSE(ok(read(R"({"state":"ready","born":"yesterday"})")));
@@ -217,7 +222,7 @@
   EXPECT_EQ(c.Version, 7U);
   ASSERT_EQ(c.Routes.size(), 2U);
   EXPECT_EQ(c.Routes[0].Kind, gateway::RequestKind::Stream);
-  EXPECT_EQ(c.Routes[0].LongestPause, milliseconds(180));
+  EXPECT_EQ(c.Routes[0].MaxEventGap, milliseconds(180));
   EXPECT_EQ(c.Routes[0].Services[0].Service, "llm");
   EXPECT_EQ(c.Routes[1].Kind, gateway::RequestKind::Idempotent);
   EXPECT_TRUE(c.Routes[1].IsPublic);
@@ -225,8 +230,8 @@
   ASSERT_EQ(c.Routes[1].Services.size(), 2U);
   EXPECT_EQ(c.Routes[1].Services[1].Weight, 10);
   ASSERT_NE(c.service("llm"), nullptr);
-  EXPECT_EQ(c.service("llm")->Engine->MemoryTokens, 34'545U);
-  EXPECT_TRUE(c.service("llm")->Engine->CanMove);
+  EXPECT_EQ(c.service("llm")->Engine->KvCacheTokens, 34'545U);
+  EXPECT_TRUE(c.service("llm")->Engine->CanMigrate);
   EXPECT_FALSE(c.service("shop")->Engine);
   EXPECT_EQ(c.service("none"), nullptr);
   EXPECT_EQ(c.Limits.IdleTimeout, milliseconds(15'000));
@@ -252,7 +257,7 @@
   EXPECT_EQ(s.Service, "llm");
   EXPECT_EQ(base::toString(s.Address), "10.1.2.3:80");
   EXPECT_EQ(s.State, gateway::ServerState::Leaving);
-  EXPECT_EQ(s.ColdLeft, milliseconds(250));
+  EXPECT_EQ(s.ColdRemaining, milliseconds(250));
   EXPECT_FALSE(ok(decodeServer("servers/i-7", "{}")));
   EXPECT_FALSE(ok(
       decodeServer("servers/i-7", R"({"backend":"llm","address":"name:80"})")));
