--- a/include/drumlanding/gateway/protocol-codec.h
+++ b/include/drumlanding/gateway/protocol-codec.h
@@ -110,7 +110,8 @@
   std::function<CallerRequest(http::Request)> DecodeRequest;
   std::function<http::Request(const CallerRequest &, const RequestMetadata &)>
       EncodeServerRequest;
-  std::function<ServerResponse(const CallerRequest &, const http::ResponseHead &)>
+  std::function<ServerResponse(const CallerRequest &,
+                               const http::ResponseHead &)>
       DecodeResponseHead;
   /// Puts the attempt's id on an answer of the gateway's own.
   std::function<void(const CallerRequest &, http::Response &)> AddAttemptId;
--- a/src/agent/shell.cc
+++ b/src/agent/shell.cc
@@ -295,7 +295,8 @@
   http::Request request{"GET", "/healthz", {}, {}};
   const auto fetched = co_await http::fetch(Settings.Backend,
                                             std::move(request), ObserveTimeout);
-  observed.IsAlive = ok(fetched.Outcome) && value(fetched.Outcome).Status == 200;
+  observed.IsAlive =
+      ok(fetched.Outcome) && value(fetched.Outcome).Status == 200;
   co_return observed;
 }
 
--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -150,8 +150,7 @@
   return nextStep(state, [&] {
     const base::Instant now = f.Ctx.now();
     const bool isGranted = f.Ctx.Budget.tryRetry(
-        now, f.ChosenService->Name,
-                                               f.Ctx.GatewayPeers.gatewayCount(now));
+        now, f.ChosenService->Name, f.Ctx.GatewayPeers.gatewayCount(now));
     countRetry(f.Ctx.Metrics, f.ChosenService->Name, isGranted);
     return isGranted;
   });
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -89,8 +89,8 @@
 }
 
 const Server *Forwarder::chooseServer(ForwardedRequest &f) {
-  return Ctx.Placer.chooseForRequest(Ctx.now(), f.ChosenService->Name, f.TriedServers,
-                            Ctx.Random);
+  return Ctx.Placer.chooseForRequest(Ctx.now(), f.ChosenService->Name,
+                                     f.TriedServers, Ctx.Random);
 }
 
 asio::awaitable<Attempt> Forwarder::attemptCall(ForwardedRequest &f,
--- a/src/gateway/gateway-context.h
+++ b/src/gateway/gateway-context.h
@@ -51,7 +51,8 @@
   static constexpr base::milliseconds ExitMargin{250};
 
   GatewayContext(asio::io_context &io, const base::Clock &clock,
-                 GatewaySettings settings, ProtocolCodec dialect, StoreReader source)
+                 GatewaySettings settings, ProtocolCodec dialect,
+                 StoreReader source)
       : Io(io), Clock(clock), Settings(std::move(settings)),
         Codec(std::move(dialect)), Store(std::move(source)), Log(Settings.Name),
         Servers(Settings.RenewalInterval), Placer(Servers, Runs, Settings.Zone),
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -223,7 +223,8 @@
     handleSidecarNotice(message, from);
     return;
   }
-  const Peers::ReceiveResult senderState = Ctx.GatewayPeers.recordMessage(now, message);
+  const Peers::ReceiveResult senderState =
+      Ctx.GatewayPeers.recordMessage(now, message);
   if (senderState == Peers::ReceiveResult::Ignored)
     return;
   // Who has just started knows nothing yet.
@@ -254,14 +255,14 @@
     Ctx.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
   for (const wire::Avoided &avoided : message.avoided())
     Ctx.Servers.applyEjection(now, {avoided.server(),
-                                   static_cast<int>(avoided.broken_answers()),
-                                   milliseconds(avoided.left_ms()),
-                                   milliseconds(avoided.born_ms())});
+                                    static_cast<int>(avoided.broken_answers()),
+                                    milliseconds(avoided.left_ms()),
+                                    milliseconds(avoided.born_ms())});
   // An outage of the store is one that affects every gateway, not a loss of
   // this gateway's own path to it.
   if (message.watches_list())
     Ctx.Servers.recordStoreContact(now - milliseconds(message.list_age_ms()),
-                                 now - milliseconds(message.steady_ms()));
+                                   now - milliseconds(message.steady_ms()));
   for (const ListedServer &listed : fromWire(message.changed_servers()))
     Ctx.Servers.put(now, listed, Evidence::Gateway);
   for (const wire::GoneServer &gone : message.gone_servers())
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -34,7 +34,8 @@
   void addListDelta(wire::Gossip &message);
   void addFullState(wire::Gossip &message, std::span<const TrackedRun> runs);
   void broadcast(const wire::Gossip &message);
-  void handleDatagram(std::string_view datagram, const DatagramSocket::Sender &from);
+  void handleDatagram(std::string_view datagram,
+                      const DatagramSocket::Sender &from);
   void requestSidecarNotice(const Server &server);
   void handleSidecarNotice(const wire::Gossip &message,
                            const DatagramSocket::Sender &from);
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -146,9 +146,9 @@
 }
 
 asio::awaitable<CopyResponse> Migrator::copyKvCache(StreamRunPointer run,
-                                                  Server source,
-                                                  Server destination,
-                                                  bool isLast) {
+                                                    Server source,
+                                                    Server destination,
+                                                    bool isLast) {
   const CopyRequest order{run->F.Request.AttemptId, destination.Listed.Address,
                           isLast};
   http::Request request = Ctx.Codec.EncodeCopyRequest(order);
--- a/src/gateway/migrator.h
+++ b/src/gateway/migrator.h
@@ -71,7 +71,7 @@
   asio::awaitable<bool> copyWhileRunning(StreamRunPointer run, Server source,
                                          Server destination);
   asio::awaitable<CopyResponse> copyKvCache(StreamRunPointer run, Server source,
-                                          Server destination, bool isLast);
+                                            Server destination, bool isLast);
   asio::awaitable<void> freeCopy(base::Endpoint at, std::string handle);
   base::Instant shutdownAt(const Server &server) const;
   base::Duration estimateCopyTime(const StreamRun &run, const Server &source,
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -86,8 +86,7 @@
 
 void recordListRead(GatewayContext &ctx, base::Instant now) {
   const bool hasFailed = ctx.ListReadFailedAt > ctx.ListReadAt;
-  ctx.Servers.recordStoreContact(now,
-                                   hasFailed ? ctx.ListReadFailedAt : now);
+  ctx.Servers.recordStoreContact(now, hasFailed ? ctx.ListReadFailedAt : now);
   ctx.ListReadAt = now;
   ctx.ListConfirmedAt = now;
 }
@@ -152,8 +151,8 @@
 
 /// Waits for a change of the config. A long watch ends as soon as this gateway
 /// has to follow the store itself: its connection may be dead.
-StoreReader::AsyncResult<ConfigText> waitForConfigChange(GatewayContext &ctx,
-                                               std::uint64_t revision) {
+StoreReader::AsyncResult<ConfigText>
+waitForConfigChange(GatewayContext &ctx, std::uint64_t revision) {
   if (ctx.WatchesList) {
     const milliseconds wait = configWatchWait(ctx.Settings.MaxConfigApplyTime);
     co_return co_await ctx.Store.WatchConfig(revision, wait);
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -114,8 +114,8 @@
 asio::awaitable<bool> StreamForwarder::openStream() {
   for (;;) {
     const Demand demand{F.Request.PromptTokens, F.Request.ExpectedTokens};
-    const Choice choice = Ctx.Placer.chooseForGeneration(Ctx.now(), *F.ChosenService,
-                                                   demand, F.TriedServers);
+    const Choice choice = Ctx.Placer.chooseForGeneration(
+        Ctx.now(), *F.ChosenService, demand, F.TriedServers);
     if (!choice.Chosen) {
       logStreamEnd("no server");
       http::Response response =
@@ -149,10 +149,10 @@
     unregisterRun();
     recordOutcome(F, id, attempt);
     F.closeConnection();
-    const bool hasServer =
-        Ctx.Placer
-            .chooseForGeneration(Ctx.now(), *F.ChosenService, demand, F.TriedServers)
-            .Chosen != nullptr;
+    const bool hasServer = Ctx.Placer
+                               .chooseForGeneration(Ctx.now(), *F.ChosenService,
+                                                    demand, F.TriedServers)
+                               .Chosen != nullptr;
     const Step step = decideNextStep(F, attempt, hasServer);
     if (attempt.End == AttemptOutcome::Incomplete ||
         attempt.End == AttemptOutcome::Failed)
@@ -255,7 +255,7 @@
 }
 
 asio::awaitable<bool> StreamForwarder::resumeAt(Server server,
-                                                  ResumePoint from) {
+                                                ResumePoint from) {
   F.closeConnection();
   F.Connection = co_await connectTo(F, server);
   if (!F.Connection || F.isAborted())
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -122,7 +122,8 @@
         co_return;
       identifyEngine(Codec.DecodeHealth(value(health)));
     }
-    const auto answer = co_await sendRequest(*connection, Codec.EncodeReportRequest());
+    const auto answer =
+        co_await sendRequest(*connection, Codec.EncodeReportRequest());
     if (!ok(answer))
       co_return;
     const auto report = Codec.DecodeReport(value(answer));
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -303,8 +303,7 @@
     settings.ControlListen = freeEndpoint();
     settings.Retries = {0.2, 50, seconds(10)};
     auto shell = Shell::start(Io, Clock, settings,
-                              platform::makeProtocolCodec(),
-                              storeReader());
+                              platform::makeProtocolCodec(), storeReader());
     ASSERT_TRUE(ok(shell)) << describe(error(shell));
     Gateway = std::move(value(shell));
     ListenAddress = settings.Listen;
--- a/test/platform-test.cc
+++ b/test/platform-test.cc
@@ -106,8 +106,9 @@
   http::Request request = sampleRequest();
   request.Headers.push_back({"Last-Event-Id", "1"});
   const gateway::CallerRequest r = codec.DecodeRequest(std::move(request));
-  EXPECT_EQ(headerValues(codec.EncodeServerRequest(r, {}), "Last-Event-Id").size(),
-            1U);
+  EXPECT_EQ(
+      headerValues(codec.EncodeServerRequest(r, {}), "Last-Event-Id").size(),
+      1U);
   gateway::RequestMetadata order;
   order.ResumeFrom = gateway::ResumePoint{{"10.0.0.7", 80}, "h1", 41};
   order.Priority = 2;
@@ -147,7 +148,8 @@
 
 TEST(ProtocolCodec, EncodesCopyRequestsAndDecodesResponses) {
   const gateway::ProtocolCodec codec = makeProtocolCodec();
-  const http::Request ask = codec.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, true});
+  const http::Request ask =
+      codec.EncodeCopyRequest({"9c41", {"10.0.0.2", 81}, true});
   EXPECT_EQ(ask.Method, "POST");
   EXPECT_NE(ask.Body.find("\"10.0.0.2:81\""), std::string::npos);
   EXPECT_NE(ask.Body.find("\"last\":true"), std::string::npos);
@@ -169,7 +171,8 @@
   EXPECT_EQ(read(503, R"({"handle":"h7"})").Handle, "h7");
   EXPECT_EQ(read(500, "nonsense").Code, Outcome::Failed);
   EXPECT_EQ(
-      codec.DecodeCopyResponse(base::Error{base::ErrorCode::Unavailable, "", ""})
+      codec
+          .DecodeCopyResponse(base::Error{base::ErrorCode::Unavailable, "", ""})
           .Code,
       Outcome::Failed);
 }
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -917,8 +917,9 @@
     const bool didRun = ran.contains(caller->Marker);
     if (wasToldNotRun && didRun && !caller->IsRepeated &&
         caller->Resumes == 0 && !caller->IsCancel)
-      violations += fmt::format("{}: said not run ({}), but it ran; ",
-                                caller->Marker, toString(caller->Refused->Reason));
+      violations +=
+          fmt::format("{}: said not run ({}), but it ran; ", caller->Marker,
+                      toString(caller->Refused->Reason));
     if (caller->IsComplete && !caller->IsCancel && !didRun)
       violations += caller->Marker + ": answered, but never ran; ";
   }
