--- a/include/drumlanding/bundle/difference.h
+++ b/include/drumlanding/bundle/bundle-delta.h
@@ -15,15 +15,15 @@
 /// Returns the text of a document in the one form that differences rebuild
 /// byte for byte: members sorted, no white space. Other texts are returned as
 /// they are.
-std::string canonical(std::string_view document);
+std::string canonicalJson(std::string_view document);
 
 /// Makes the difference between two serialised signed bundles; empty when the
 /// new document is not in canonical form.
-std::string makeDifference(std::string_view oldSigned,
-                           std::string_view newSigned);
+std::string makeBundleDelta(std::string_view oldSigned,
+                            std::string_view newSigned);
 
 /// Returns the new serialised signed bundle.
-base::Result<std::string> applyDifference(std::string_view oldSigned,
-                                          std::string_view difference);
+base::Result<std::string> applyBundleDelta(std::string_view oldSigned,
+                                           std::string_view delta);
 
 } // namespace drumlanding::bundle
--- a/include/drumlanding/entry/core.h
+++ b/include/drumlanding/entry/core.h
@@ -37,7 +37,7 @@
 // Events.
 
 /// A caller asks for a generation.
-struct GenerationAsked {
+struct GenerationRequested {
   SessionId Session = 0;
   std::string Credential;
   std::string Model;
@@ -50,19 +50,19 @@
   bool Repeatable = true;
 };
 /// A caller comes back for a stream, with the index of its next token.
-struct ResumeAsked {
+struct ResumeRequested {
   SessionId Session = 0;
   std::string Credential;
   std::string RequestId;
   std::uint32_t NextIndex = 0;
 };
-struct CancelAsked {
+struct CancelRequested {
   SessionId Session = 0;
   std::string Credential;
   std::string RequestId;
 };
 /// A caller calls a plain service.
-struct CallAsked {
+struct CallRequested {
   SessionId Session = 0;
   std::string Credential;
   std::string Service;
@@ -82,8 +82,8 @@
   base::Result<wire::Reply> Reply;
 };
 /// A message from another entry.
-struct PeerAsked {
-  std::uint64_t Reply = 0;
+struct PeerRequestArrived {
+  std::uint64_t ReplyId = 0;
   wire::Request Message;
 };
 /// One VM of the platform's list.
@@ -107,9 +107,10 @@
 struct LeaveOrdered {};
 struct Tick {};
 
-using Event = std::variant<GenerationAsked, ResumeAsked, CancelAsked, CallAsked,
-                           SessionClosed, ReplyArrived, PeerAsked, VmsListed,
-                           DocumentRead, LeaveOrdered, Tick>;
+using Event =
+    std::variant<GenerationRequested, ResumeRequested, CancelRequested,
+                 CallRequested, SessionClosed, ReplyArrived, PeerRequestArrived,
+                 VmsListed, DocumentRead, LeaveOrdered, Tick>;
 
 // Commands.
 
@@ -121,7 +122,7 @@
   base::milliseconds Timeout{0};
 };
 struct ReplyToPeer {
-  std::uint64_t Reply = 0;
+  std::uint64_t ReplyId = 0;
   wire::Reply Message;
 };
 /// The stream begins: its id can be used to resume it.
@@ -150,21 +151,21 @@
   wire::CallReply Answer;
 };
 /// Links to peers that are gone can be closed.
-struct ForgetPeer {
+struct DisconnectPeer {
   std::string Peer;
 };
 
 using Command =
     std::variant<SendMessage, ReplyToPeer, BeginStream, DeliverTokens,
-                 EndStream, RefuseSession, AnswerSession, ForgetPeer>;
+                 EndStream, RefuseSession, AnswerSession, DisconnectPeer>;
 using Commands = std::vector<Command>;
 
 /// Switches for the proofs; see agent::Mechanisms. All are on in the programs.
 struct Mechanisms {
-  bool AskAfterLostReplies = true;
-  bool DropRepeatedTokens = true;
+  bool ResolveLostReplies = true;
+  bool DropDuplicateTokens = true;
   bool LimitRetries = true;
-  bool SpreadDocuments = true;
+  bool PropagateDocuments = true;
 };
 
 struct CoreOptions {
@@ -176,7 +177,8 @@
   /// Most servers of one service that this entry reports with and routes to.
   std::size_t SubsetSize = 16;
   Mechanisms On;
-  std::function<void(std::string_view part, std::string_view sentence)> Note;
+  std::function<void(std::string_view component, std::string_view message)>
+      LogEvent;
   std::function<void(std::string_view metric, std::string_view label,
                      std::string_view value, double by)>
       Count;
@@ -201,10 +203,11 @@
 
 private:
   enum class Phase {
-    Starting,  ///< A Start or Call is on its way.
-    Asking,    ///< Its reply was lost: a Revoke asks what became of it.
-    Backoff,   ///< Waits for a document to arrive at the other side.
-    Attaching, ///< Asks for a running generation.
+    Starting,           ///< A Start or Call is on its way.
+    ResolvingLostReply, ///< Its reply was lost: a Revoke asks what became of
+                        ///< it.
+    Backoff,            ///< Waits for a document to arrive at the other side.
+    Attaching,          ///< Asks for a running generation.
     Streaming,
     Cancelling,
   };
@@ -214,24 +217,24 @@
     Phase State = Phase::Starting;
     std::string Organisation;
     /// The request as asked; one of the two is set.
-    std::optional<GenerationAsked> Generation;
-    std::optional<CallAsked> Call;
+    std::optional<GenerationRequested> Generation;
+    std::optional<CallRequested> Call;
     /// The attempt in progress.
     std::string RequestId;
-    std::string Attempt;
+    std::string AttemptId;
     std::string Server;
-    std::vector<std::string> Tried;
+    std::vector<std::string> TriedServers;
     /// The incarnation that the attempt was meant for.
     std::uint64_t Incarnation = 0;
-    int Tries = 0;
-    int CatchUps = 0;
-    int Asks = 0;
+    int AttemptCount = 0;
+    int BackoffCount = 0;
+    int RevokeCount = 0;
     /// An attempt may have run: the last word can no longer be "not run".
     bool MayHaveRun = false;
-    bool Begun = false;
+    bool HasBegun = false;
     std::uint32_t NextIndex = 0;
-    base::Instant AskedAt{};
-    base::Instant LastToken{};
+    base::Instant RequestedAt{};
+    base::Instant LastTokenAt{};
     base::Instant Deadline{};
     base::Instant RetryAt{};
   };
@@ -253,26 +256,26 @@
     SessionId Session = 0;
     std::string Peer = {};
     /// The attempt it belongs to; a reply to an earlier one is dropped.
-    std::string Attempt = {};
+    std::string AttemptId = {};
     wire::DocumentKind Document = wire::BUNDLE;
   };
 
   /// The long poll to one agent and the streams followed there.
-  struct Following {
+  struct AgentPoll {
     std::map<std::string, SessionId> Streams;
-    MessageId Poll = 0;
-    base::Instant LastHeard{};
-    base::Instant NextPoll{};
+    MessageId PollId = 0;
+    base::Instant LastReplyAt{};
+    base::Instant NextPollAt{};
     bool NeedsPoll = false;
   };
 
-  void on(base::Now now, GenerationAsked &e);
-  void on(base::Now now, ResumeAsked &e);
-  void on(base::Now now, CancelAsked &e);
-  void on(base::Now now, CallAsked &e);
+  void on(base::Now now, GenerationRequested &e);
+  void on(base::Now now, ResumeRequested &e);
+  void on(base::Now now, CancelRequested &e);
+  void on(base::Now now, CallRequested &e);
   void on(base::Now now, SessionClosed &e);
   void on(base::Now now, ReplyArrived &e);
-  void on(base::Now now, PeerAsked &e);
+  void on(base::Now now, PeerRequestArrived &e);
   void on(base::Now now, VmsListed &e);
   void on(base::Now now, DocumentRead &e);
   void on(base::Now now, LeaveOrdered &e);
@@ -280,57 +283,58 @@
 
   const bundle::Organisation *authorise(SessionId id,
                                         const std::string &credential);
-  base::Refusal checkGeneration(const GenerationAsked &e,
+  base::Refusal checkGeneration(const GenerationRequested &e,
                                 const bundle::Organisation &o) const;
-  base::Refusal checkCall(base::Now now, const CallAsked &e,
+  base::Refusal checkCall(base::Now now, const CallRequested &e,
                           const bundle::Organisation &o) const;
-  Session *open(base::Now now, SessionId id, const bundle::Organisation &o);
+  Session *openSession(base::Now now, SessionId id,
+                       const bundle::Organisation &o);
 
-  void attempt(base::Now now, Session &s);
+  void startAttempt(base::Now now, Session &s);
   bool chooseServer(base::Now now, Session &s);
-  bool meetOwner(base::Now now, Session &s);
+  bool discoverOwner(base::Now now, Session &s);
   void sendStart(base::Now now, Session &s);
   void sendCall(base::Now now, Session &s);
   void sendRevoke(base::Now now, Session &s);
-  void retryOrGiveUp(base::Now now, Session &s, base::Refusal why);
-  void catchUp(base::Now now, Session &s, base::Refusal why);
-  bool takeOver(base::Now now, Session &s);
-  void follow(base::Now now, Session &s);
-  void begin(Session &s);
-  void measureGap(base::Now now, Session &s);
-  void unfollow(Session &s);
-  void giveUp(base::Now now, Session &s, base::Refusal why);
-  void close(SessionId id);
+  void retryOrFail(base::Now now, Session &s, base::Refusal why);
+  void backOff(base::Now now, Session &s, base::Refusal why);
+  bool keepNewestFollower(base::Now now, Session &s);
+  void followStream(base::Now now, Session &s);
+  void beginStream(Session &s);
+  void recordTokenGap(base::Now now, Session &s);
+  void unfollowStream(Session &s);
+  void failSession(base::Now now, Session &s, base::Refusal why);
+  void closeSession(SessionId id);
 
   void onLostReply(base::Now now, Session &s);
   void onStartReply(base::Now now, Session &s,
                     const base::Result<wire::Reply> &r);
   void onCallReply(base::Now now, Session &s,
                    const base::Result<wire::Reply> &r);
-  void onAskReply(base::Now now, Session &s,
-                  const base::Result<wire::Reply> &r);
+  void onRevokeReply(base::Now now, Session &s,
+                     const base::Result<wire::Reply> &r);
   void onAttachReply(base::Now now, Session &s,
                      const base::Result<wire::Reply> &r);
   void onCancelReply(base::Now now, Session &s,
                      const base::Result<wire::Reply> &r);
   void onPollReply(base::Now now, const SentMessage &sent, MessageId id,
                    const base::Result<wire::Reply> &r);
-  void onPart(base::Now now, const std::string &server,
-              const wire::StreamPart &part);
+  void onStreamPart(base::Now now, const std::string &server,
+                    const wire::StreamPart &part);
   void onDocumentReply(base::Now now, const SentMessage &sent,
                        const base::Result<wire::Reply> &r);
-  void compareVersions(base::Now now, const std::string &peer,
-                       const wire::Versions &theirs);
+  void reconcileVersions(base::Now now, const std::string &peer,
+                         const wire::Versions &theirs);
 
   void poll(base::Now now, const std::string &server);
   void pollAll(base::Now now);
   void syncAll(base::Now now);
   void checkSessions(base::Now now);
-  void takeDocument(base::Now now, const wire::Document &document,
-                    std::string_view from);
+  void applyDocument(base::Now now, const wire::Document &document,
+                     std::string_view from);
   MessageId send(const std::string &peer, wire::Request request,
                  SentMessage sent, base::milliseconds timeout);
-  void note(std::string_view part, const std::string &sentence) const;
+  void logEvent(std::string_view component, const std::string &message) const;
   void count(std::string_view metric, std::string_view label = {},
              std::string_view value = {}, double by = 1) const;
 
@@ -341,13 +345,13 @@
   base::Random Random;
   OrganisationLimits Limits;
   RetryBudget Budget;
-  std::unordered_map<std::string, std::string> OrganisationOfCredential;
+  std::unordered_map<std::string, std::string> OrganisationByCredentialHash;
   std::unordered_map<SessionId, Session> Sessions;
-  std::unordered_map<MessageId, SentMessage> Sent;
-  std::map<std::string, Following> Follows;
-  Commands Out;
+  std::unordered_map<MessageId, SentMessage> PendingMessages;
+  std::map<std::string, AgentPoll> AgentPolls;
+  Commands Output;
   MessageId NextMessage = 1;
-  base::Instant LastCheck{};
+  base::Instant LastCheckAt{};
   bool IsLeaving = false;
 };
 
--- a/include/drumlanding/entry/limits.h
+++ b/include/drumlanding/entry/limits.h
@@ -19,15 +19,15 @@
 class RetryBudget {
 public:
   /// `part` retries for each first attempt; at most `burst` saved up.
-  RetryBudget(double part, double burst)
-      : Part(part), Burst(burst), Saved(burst) {}
-  void firstAttempt();
+  RetryBudget(double ratio, double burst)
+      : Ratio(ratio), Burst(burst), Balance(burst) {}
+  void recordFirstAttempt();
   bool tryRetry();
 
 private:
-  double Part;
+  double Ratio;
   double Burst;
-  double Saved;
+  double Balance;
 };
 
 /// Counts the open requests and the rate of each organisation.
@@ -41,13 +41,13 @@
   base::milliseconds retryAfter(const bundle::Organisation &o) const;
 
 private:
-  struct Use {
-    int Open = 0;
-    double Saved = 0;
-    base::Instant At{};
+  struct Usage {
+    int OpenRequests = 0;
+    double Balance = 0;
+    base::Instant UpdatedAt{};
     bool IsNew = true;
   };
-  std::map<std::string, Use, std::less<>> Uses;
+  std::map<std::string, Usage, std::less<>> UsageByOrganisation;
 };
 
 } // namespace drumlanding::entry
--- a/include/drumlanding/entry/members.h
+++ b/include/drumlanding/entry/members.h
@@ -1,7 +1,7 @@
 /// Members: the peers an entry knows, from the platform's lagging list and,
 /// above all, from their own reports.
 ///
-///   members.list(now, vms);
+///   members.applyList(now, vms);
 ///   for (const Member *m : members.ofService("tutor-llm")) ...
 #pragma once
 
@@ -26,14 +26,14 @@
   wire::Report Report;
   wire::Versions Versions;
   base::Instant ReportedAt{};
-  base::Instant NextSync{};
+  base::Instant NextSyncAt{};
   bool SyncPending = false;
   bool DocumentPending = false;
   /// Its last difference did not fit.
-  bool WantsWhole = false;
+  bool NeedsFullDocument = false;
   /// Version of the bundle last pushed to it.
-  std::uint64_t Pushed = 0;
-  std::uint32_t SentSince = 0;
+  std::uint64_t PushedBundleVersion = 0;
+  std::uint32_t SentSinceReport = 0;
   double DistanceMs = 0;
 
   bool isAgent() const { return Vm.Role == "agent"; }
@@ -50,11 +50,11 @@
   explicit Members(std::string self, std::size_t subsetSize);
 
   /// Takes the platform's list; returns the names that are gone.
-  std::vector<std::string> list(base::Instant now,
-                                const std::vector<ListedVm> &vms,
-                                std::string_view place);
+  std::vector<std::string> applyList(base::Instant now,
+                                     const std::vector<ListedVm> &vms,
+                                     std::string_view place);
   /// Sets the distances from this entry's place.
-  void measure(const bundle::Bundle &bundle, std::string_view place);
+  void updateDistances(const bundle::Bundle &bundle, std::string_view place);
 
   Member *find(std::string_view name);
   const Member *find(std::string_view name) const;
--- a/include/drumlanding/entry/router.h
+++ b/include/drumlanding/entry/router.h
@@ -34,7 +34,7 @@
   std::uint32_t Waiting = 0;
   base::Instant ReportedAt{};
   /// Requests that this entry sent it since the report.
-  std::uint32_t SentSince = 0;
+  std::uint32_t SentSinceReport = 0;
 };
 
 struct RouteQuery {
@@ -44,14 +44,14 @@
   double RequestTokens = 600;
 };
 
-enum class RouteRule {
+enum class RoutingPolicy {
   Balanced,    ///< Prefix affinity with bounded load, then d choices.
   Random,      ///< Baseline.
   LeastLoaded, ///< Baseline: the least load by the last report.
 };
 
 struct RouterOptions {
-  RouteRule Rule = RouteRule::Balanced;
+  RoutingPolicy Policy = RoutingPolicy::Balanced;
   /// Servers drawn at random.
   int Choices = 3;
   /// An affine server may be this much above the average load.
--- a/include/drumlanding/plan/document-store.h
+++ b/include/drumlanding/plan/document-store.h
@@ -19,7 +19,7 @@
 namespace drumlanding::plan {
 
 /// What became of an offered document.
-enum class Offer {
+enum class OfferResult {
   Taken,   ///< It is in force now.
   Known,   ///< It is the one in force.
   Older,   ///< A newer one is in force.
@@ -33,8 +33,8 @@
 
   /// Checks a document and takes it when it is newer than the one in force.
   /// `why` receives the reason when it is refused.
-  Offer offer(base::WallTime now, wire::DocumentKind kind,
-              std::string_view body, std::string *why = nullptr);
+  OfferResult offer(base::WallTime now, wire::DocumentKind kind,
+                    std::string_view body, std::string *why = nullptr);
 
   /// Packs a document for a peer that has `base`: the difference where the
   /// store still knows that version and it is smaller, else the whole.
@@ -42,8 +42,8 @@
 
   /// Takes what `pack` made. A difference that does not fit is Offer::Invalid;
   /// ask for the whole then.
-  Offer unpack(base::WallTime now, const wire::Document &document,
-               std::string *why = nullptr);
+  OfferResult offerPacked(base::WallTime now, const wire::Document &document,
+                          std::string *why = nullptr);
 
   /// The documents in force; null until the first is taken.
   std::shared_ptr<const bundle::Bundle> bundle() const { return CurrentBundle; }
@@ -53,8 +53,8 @@
   const std::string &body(wire::DocumentKind kind) const;
 
 private:
-  Offer take(base::WallTime now, wire::DocumentKind kind, std::uint64_t version,
-             std::string_view body);
+  OfferResult apply(base::WallTime now, wire::DocumentKind kind,
+                    std::uint64_t version, std::string_view body);
 
   bundle::TrustedKeys Trusted;
   std::shared_ptr<const bundle::Bundle> CurrentBundle;
@@ -67,10 +67,10 @@
     std::uint64_t Version = 0;
     std::string Text;
   };
-  std::deque<PastBundle> Past;
+  std::deque<PastBundle> History;
 };
 
 std::string_view toString(wire::DocumentKind kind);
-std::string_view toString(Offer offer);
+std::string_view toString(OfferResult offer);
 
 } // namespace drumlanding::plan
--- a/include/drumlanding/plan/plan.h
+++ b/include/drumlanding/plan/plan.h
@@ -56,7 +56,7 @@
 /// Returns `current` with the same version when nothing has to change.
 Plan makePlan(const bundle::Bundle &bundle,
               std::span<const PlannedServer> servers, const Plan &current,
-              std::size_t mostMoves = 1);
+              std::size_t maxChanges = 1);
 
 std::string serialise(const Plan &plan);
 base::Result<Plan> parsePlan(std::string_view json);
--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -248,11 +248,12 @@
 
 void Core::offer(base::Now now, const wire::Document &document) {
   std::string why;
-  const plan::Offer offer = Documents.unpack(now.Wall, document, &why);
+  const plan::OfferResult offer =
+      Documents.offerPacked(now.Wall, document, &why);
   note("agent.document",
        fmt::format("offered {}: {} {}", plan::toString(document.kind()),
                    plan::toString(offer), why));
-  if (offer == plan::Offer::Taken)
+  if (offer == plan::OfferResult::Taken)
     applyDocuments(now);
 }
 
--- a/src/bundle/bundle.cc
+++ b/src/bundle/bundle.cc
@@ -15,8 +15,8 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t CredentialHashDigits = 64;
-constexpr double UnknownLinkMs = 50;
-constexpr double LargestVersion = 9e15;
+constexpr double DefaultOneWayMs = 50;
+constexpr double MaxVersion = 9e15;
 
 template <typename T>
 const T *findByName(const std::vector<T> &all, std::string_view name) {
@@ -143,21 +143,21 @@
   checkUnique(r, "organisations", b.Organisations);
   checkServers(r, b);
   for (std::size_t i = 0; i < b.Links.size(); ++i) {
-    const std::string at = "links[" + std::to_string(i) + "]";
-    checkKnown(r, at + ".from", {b.Links[i].From}, b.Places);
-    checkKnown(r, at + ".to", {b.Links[i].To}, b.Places);
+    const std::string path = "links[" + std::to_string(i) + "]";
+    checkKnown(r, path + ".from", {b.Links[i].From}, b.Places);
+    checkKnown(r, path + ".to", {b.Links[i].To}, b.Places);
   }
   for (std::size_t i = 0; i < b.Services.size(); ++i)
     checkKnown(r, "services[" + std::to_string(i) + "].models",
                b.Services[i].Models, b.Models);
   std::set<std::string_view> hashes;
   for (std::size_t i = 0; i < b.Organisations.size(); ++i) {
-    const std::string at = "organisations[" + std::to_string(i) + "]";
+    const std::string path = "organisations[" + std::to_string(i) + "]";
     const Organisation &o = b.Organisations[i];
-    checkKnown(r, at + ".contract.models", o.Contract.Models, b.Models);
-    checkKnown(r, at + ".contract.services", o.Contract.Services, b.Services);
+    checkKnown(r, path + ".contract.models", o.Contract.Models, b.Models);
+    checkKnown(r, path + ".contract.services", o.Contract.Services, b.Services);
     if (!hashes.insert(o.CredentialHash).second)
-      r.fail(at + ".credentialHash", "another organisation has the same");
+      r.fail(path + ".credentialHash", "another organisation has the same");
   }
 }
 
@@ -165,8 +165,7 @@
   r.allowOnly({"version", "deployment", "places", "links", "models", "services",
                "organisations", "limits", "drain"});
   Bundle b;
-  b.Version =
-      static_cast<std::uint64_t>(r.integer("version", {1, LargestVersion}));
+  b.Version = static_cast<std::uint64_t>(r.integer("version", {1, MaxVersion}));
   b.Deployment = r.name("deployment");
   r.objects("places",
             [&](const JsonReader &o) { b.Places.push_back(readPlace(o)); });
@@ -255,7 +254,7 @@
     if ((link.From == from && link.To == to) ||
         (link.From == to && link.To == from))
       return link.OneWayMs;
-  return UnknownLinkMs;
+  return DefaultOneWayMs;
 }
 
 Result<Bundle> parseBundle(std::string_view json) {
--- a/src/bundle/json-reader.cc
+++ b/src/bundle/json-reader.cc
@@ -10,7 +10,7 @@
 
 const nlohmann::json EmptyObject = nlohmann::json::object();
 
-std::string_view nameOf(nlohmann::json::value_t type) {
+std::string_view expectedType(nlohmann::json::value_t type) {
   switch (type) {
   case nlohmann::json::value_t::string:
     return "a text is expected";
@@ -37,14 +37,14 @@
 
 const nlohmann::json *JsonReader::member(std::string_view key,
                                          Json::value_t type) const {
-  const auto it = Here.find(key);
-  if (it == Here.end()) {
+  const auto it = Value.find(key);
+  if (it == Value.end()) {
     fail(pathOf(key), "is missing");
     return nullptr;
   }
   if (it->type() == type)
     return &*it;
-  fail(pathOf(key), std::string(nameOf(type)));
+  fail(pathOf(key), std::string(expectedType(type)));
   return nullptr;
 }
 
@@ -62,18 +62,18 @@
 }
 
 double JsonReader::number(std::string_view key, Range range) const {
-  const auto it = Here.find(key);
-  if (it == Here.end()) {
+  const auto it = Value.find(key);
+  if (it == Value.end()) {
     fail(pathOf(key), "is missing");
-    return range.Least;
+    return range.Min;
   }
-  const bool inRange = it->is_number() && it->get<double>() >= range.Least &&
-                       it->get<double>() <= range.Most;
+  const bool inRange = it->is_number() && it->get<double>() >= range.Min &&
+                       it->get<double>() <= range.Max;
   if (inRange)
     return it->get<double>();
-  fail(pathOf(key), "a number from " + Json(range.Least).dump() + " to " +
-                        Json(range.Most).dump() + " is expected");
-  return range.Least;
+  fail(pathOf(key), "a number from " + Json(range.Min).dump() + " to " +
+                        Json(range.Max).dump() + " is expected");
+  return range.Min;
 }
 
 std::int64_t JsonReader::integer(std::string_view key, Range range) const {
@@ -87,14 +87,14 @@
   std::vector<std::string> found;
   const Json *array = member(key, Json::value_t::array);
   for (std::size_t i = 0; array && i < array->size(); ++i) {
-    const std::string at = pathOf(key) + "[" + std::to_string(i) + "]";
+    const std::string path = pathOf(key) + "[" + std::to_string(i) + "]";
     if (!(*array)[i].is_string()) {
-      fail(at, "a text is expected");
+      fail(path, "a text is expected");
       return found;
     }
     found.push_back((*array)[i].get<std::string>());
-    if (const auto r = base::checkName(at, found.back()); !ok(r))
-      fail(at, base::error(r).Message);
+    if (const auto r = base::checkName(path, found.back()); !ok(r))
+      fail(path, base::error(r).Message);
   }
   return found;
 }
@@ -106,7 +106,7 @@
 
 void JsonReader::allowOnly(
     std::initializer_list<std::string_view> known) const {
-  for (const auto &[key, ignored] : Here.items())
+  for (const auto &[key, ignored] : Value.items())
     if (std::find(known.begin(), known.end(), key) == known.end())
       fail(pathOf(key), "is not known");
 }
--- a/src/bundle/json-reader.h
+++ b/src/bundle/json-reader.h
@@ -14,8 +14,8 @@
 
 /// The least and most that a number may be.
 struct Range {
-  double Least = 0;
-  double Most = 0;
+  double Min = 0;
+  double Max = 0;
 };
 
 class JsonReader {
@@ -23,7 +23,7 @@
   using Json = nlohmann::json;
 
   JsonReader(const Json &json, std::string path, std::optional<base::Error> &e)
-      : Here(json), Path(std::move(path)), Failure(e) {}
+      : Value(json), Path(std::move(path)), Failure(e) {}
 
   std::string text(std::string_view key) const;
   /// Text that is a name; see base::checkName.
@@ -37,17 +37,17 @@
   template <typename F> void objects(std::string_view key, F each) const {
     const Json *array = member(key, Json::value_t::array);
     for (std::size_t i = 0; array && i < array->size(); ++i) {
-      const std::string at = pathOf(key) + "[" + std::to_string(i) + "]";
+      const std::string path = pathOf(key) + "[" + std::to_string(i) + "]";
       if (!(*array)[i].is_object()) {
-        fail(at, "an object is expected");
+        fail(path, "an object is expected");
         return;
       }
-      each(JsonReader((*array)[i], at, Failure));
+      each(JsonReader((*array)[i], path, Failure));
     }
   }
   JsonReader object(std::string_view key) const;
 
-  bool has(std::string_view key) const { return Here.contains(key); }
+  bool has(std::string_view key) const { return Value.contains(key); }
   /// Fails on a member that is not in `known`, since a misspelt one would be
   /// ignored.
   void allowOnly(std::initializer_list<std::string_view> known) const;
@@ -57,7 +57,7 @@
 private:
   const Json *member(std::string_view key, Json::value_t type) const;
 
-  const Json &Here;
+  const Json &Value;
   std::string Path;
   std::optional<base::Error> &Failure;
 };
--- a/src/bundle/signature.cc
+++ b/src/bundle/signature.cc
@@ -14,7 +14,7 @@
 using base::Result;
 using Json = nlohmann::json;
 
-std::string_view nameOf(Role role) {
+std::string_view roleName(Role role) {
   return role == Role::Author ? "author" : "approver";
 }
 
@@ -24,16 +24,16 @@
 
 /// What is signed: the role is part of it, so that one signature can never
 /// serve as the other.
-std::string statement(Role role, std::string_view document) {
-  return "drumlanding bundle 1 " + std::string(nameOf(role)) + "\n" +
+std::string signedText(Role role, std::string_view document) {
+  return "drumlanding bundle 1 " + std::string(roleName(role)) + "\n" +
          std::string(document);
 }
 
-Result<base::Done> check(const SignedBundle &bundle, Role role,
-                         const Signature &signature,
-                         const std::vector<std::string> &trusted) {
+Result<base::Done> checkSignature(const SignedBundle &bundle, Role role,
+                                  const Signature &signature,
+                                  const std::vector<std::string> &trusted) {
   const Error bad{ErrorCode::Forbidden,
-                  "signatures." + std::string(nameOf(role)), ""};
+                  "signatures." + std::string(roleName(role)), ""};
   const auto fail = [&](std::string_view message) {
     Error e = bad;
     e.Message = message;
@@ -43,7 +43,7 @@
     return fail("is missing");
   if (std::find(trusted.begin(), trusted.end(), signature.Key) == trusted.end())
     return fail("the key is not in the settings");
-  const std::string text = statement(role, bundle.Document);
+  const std::string text = signedText(role, bundle.Document);
   if (signature.Bytes.size() != crypto_sign_BYTES ||
       crypto_sign_verify_detached(raw(signature.Bytes), raw(text), text.size(),
                                   raw(signature.Key)) != 0)
@@ -56,7 +56,7 @@
 }
 
 Result<Signature> readSignature(const Json &signatures, Role role) {
-  const std::string name(nameOf(role));
+  const std::string name(roleName(role));
   if (!signatures.contains(name))
     return Signature{};
   const std::string where = "signatures." + name;
@@ -94,18 +94,22 @@
 }
 
 void sign(SignedBundle &bundle, Role role, std::string_view secret) {
-  const std::string text = statement(role, bundle.Document);
-  Signature made{publicKeyOf(secret), std::string(crypto_sign_BYTES, '\0')};
-  crypto_sign_detached(reinterpret_cast<unsigned char *>(made.Bytes.data()),
-                       nullptr, raw(text), text.size(), raw(secret));
-  (role == Role::Author ? bundle.Author : bundle.Approver) = std::move(made);
+  const std::string text = signedText(role, bundle.Document);
+  Signature signature{publicKeyOf(secret),
+                      std::string(crypto_sign_BYTES, '\0')};
+  crypto_sign_detached(
+      reinterpret_cast<unsigned char *>(signature.Bytes.data()), nullptr,
+      raw(text), text.size(), raw(secret));
+  (role == Role::Author ? bundle.Author : bundle.Approver) =
+      std::move(signature);
 }
 
 Result<Bundle> verify(const SignedBundle &bundle, const TrustedKeys &trusted) {
-  auto r = check(bundle, Role::Author, bundle.Author, trusted.Authors);
+  auto r = checkSignature(bundle, Role::Author, bundle.Author, trusted.Authors);
   if (!ok(r))
     return base::error(r);
-  r = check(bundle, Role::Approver, bundle.Approver, trusted.Approvers);
+  r = checkSignature(bundle, Role::Approver, bundle.Approver,
+                     trusted.Approvers);
   if (!ok(r))
     return base::error(r);
   if (bundle.Author.Key == bundle.Approver.Key)
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -4,7 +4,7 @@
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/base/settings.h"
-#include "drumlanding/bundle/difference.h"
+#include "drumlanding/bundle/bundle-delta.h"
 
 #include <cstdio>
 #include <fstream>
@@ -144,7 +144,7 @@
   // The author writes the form that travels as differences; who signs it off
   // signs the same bytes.
   if (role == "author")
-    signedBundle.Document = bundle::canonical(signedBundle.Document);
+    signedBundle.Document = bundle::canonicalJson(signedBundle.Document);
   const auto as =
       role == "author" ? bundle::Role::Author : bundle::Role::Approver;
   bundle::sign(signedBundle, as, value(secret));
--- a/src/entry/api.cc
+++ b/src/entry/api.cc
@@ -15,7 +15,7 @@
 constexpr std::string_view ServicesPath = "/v1/services/";
 constexpr std::uint32_t DefaultMaxTokens = 4'096;
 constexpr std::size_t UuidLength = 36;
-constexpr std::string_view IdempotencyKey = "Idempotency-Key";
+constexpr std::string_view IdempotencyKeyHeader = "Idempotency-Key";
 
 std::string credentialOf(const http::Request &request) {
   constexpr std::string_view Scheme = "Bearer ";
@@ -26,11 +26,11 @@
 
 /// Reads an optional member of the wanted type; fails on another type.
 template <typename T>
-Result<T> member(const Json &json, const char *key, T otherwise,
+Result<T> member(const Json &json, const char *key, T defaultValue,
                  bool (Json::*isType)() const noexcept, const char *type) {
   const auto it = json.find(key);
   if (it == json.end())
-    return otherwise;
+    return defaultValue;
   if (!((*it).*isType)())
     return base::invalid(key, std::string(type) + " is expected");
   return it->template get<T>();
@@ -52,8 +52,8 @@
   const auto flag = [&](const char *key) {
     return member<bool>(json, key, true, &Json::is_boolean, "true or false");
   };
-  GenerationRequest made;
-  GenerationAsked &asked = made.Asked;
+  ParsedGeneration parsed;
+  GenerationRequested &asked = parsed.Request;
   for (const auto &[key, target] :
        {std::pair("model", &asked.Model), std::pair("version", &asked.Version),
         std::pair("adapter", &asked.Adapter),
@@ -70,23 +70,23 @@
   const auto repeatable = flag("repeatable");
   if (!ok(stream) || !ok(repeatable))
     return ok(stream) ? error(repeatable) : error(stream);
-  made.Stream = value(stream);
+  parsed.Stream = value(stream);
   asked.Repeatable = value(repeatable);
-  const auto most = member<std::uint32_t>(json, "maxTokens", DefaultMaxTokens,
-                                          &Json::is_number_unsigned,
-                                          "a whole number above 0");
-  if (!ok(most))
-    return error(most);
-  if (value(most) == 0)
+  const auto maxTokens = member<std::uint32_t>(
+      json, "maxTokens", DefaultMaxTokens, &Json::is_number_unsigned,
+      "a whole number above 0");
+  if (!ok(maxTokens))
+    return error(maxTokens);
+  if (value(maxTokens) == 0)
     return base::invalid("maxTokens", "a whole number above 0 is expected");
-  asked.MaxTokens = value(most);
+  asked.MaxTokens = value(maxTokens);
   asked.Credential = credentialOf(request);
-  return made;
+  return parsed;
 }
 
 Result<CallerRequest> readResume(const http::Request &request,
                                  std::string_view id) {
-  ResumeAsked asked;
+  ResumeRequested asked;
   asked.Credential = credentialOf(request);
   asked.RequestId = std::string(id);
   const std::string_view last = request.header("Last-Event-ID");
@@ -102,7 +102,7 @@
 }
 
 Result<CallerRequest> readCall(const http::Request &request) {
-  CallAsked asked;
+  CallRequested asked;
   std::string_view rest = request.Target;
   rest.remove_prefix(ServicesPath.size());
   const auto slash = rest.find('/');
@@ -112,15 +112,15 @@
   asked.Credential = credentialOf(request);
   asked.Method = request.Method;
   asked.Body = request.Body;
-  const std::string_view said = request.header("Drumlanding-Repeatable");
-  if (!said.empty() && said != "true" && said != "false")
+  const std::string_view header = request.header("Drumlanding-Repeatable");
+  if (!header.empty() && header != "true" && header != "false")
     return base::invalid("Drumlanding-Repeatable", "true or false is expected");
-  const bool isRead = asked.Method == "GET" || asked.Method == "HEAD";
-  asked.Repeatable = said.empty() ? isRead : said == "true";
+  const bool isSafeMethod = asked.Method == "GET" || asked.Method == "HEAD";
+  asked.Repeatable = header.empty() ? isSafeMethod : header == "true";
   if (asked.Repeatable)
     return asked;
-  asked.Key = std::string(request.header(IdempotencyKey));
-  const auto time = timeOfKey(asked.Key);
+  asked.Key = std::string(request.header(IdempotencyKeyHeader));
+  const auto time = idempotencyKeyTime(asked.Key);
   if (!ok(time))
     return error(time);
   asked.KeyTime = value(time);
@@ -129,25 +129,25 @@
 
 } // namespace
 
-Result<base::WallTime> timeOfKey(std::string_view uuid) {
-  const base::Error bad = base::invalid(
-      std::string(IdempotencyKey),
+Result<base::WallTime> idempotencyKeyTime(std::string_view uuid) {
+  const base::Error invalidKey = base::invalid(
+      std::string(IdempotencyKeyHeader),
       "a call that may not be repeated needs a UUID of version 7");
   if (uuid.size() != UuidLength)
-    return bad;
+    return invalidKey;
   std::string digits;
   for (std::size_t i = 0; i < uuid.size(); ++i) {
     const bool isDash = i == 8 || i == 13 || i == 18 || i == 23;
     if (isDash != (uuid[i] == '-'))
-      return bad;
+      return invalidKey;
     if (!isDash)
       digits += uuid[i];
   }
-  constexpr std::size_t VersionAt = 12;
+  constexpr std::size_t VersionDigit = 12;
   constexpr std::size_t TimeDigits = 12;
   if (!ok(base::parseHex("", digits, digits.size() / 2)) ||
-      digits[VersionAt] != '7')
-    return bad;
+      digits[VersionDigit] != '7')
+    return invalidKey;
   std::int64_t ms = 0;
   std::from_chars(digits.data(), digits.data() + TimeDigits, ms, 16);
   return base::WallTime(base::milliseconds(ms));
@@ -165,7 +165,7 @@
     if (request.Method == "GET")
       return readResume(request, id);
     if (request.Method == "DELETE")
-      return CancelAsked{0, credentialOf(request), std::string(id)};
+      return CancelRequested{0, credentialOf(request), std::string(id)};
   }
   return base::Error{base::ErrorCode::NotFound,
                      request.Method + " " + std::string(path),
--- a/src/entry/api.h
+++ b/src/entry/api.h
@@ -14,22 +14,22 @@
 namespace drumlanding::entry {
 
 /// A generation as asked, with how its answer is wanted.
-struct GenerationRequest {
-  GenerationAsked Asked;
+struct ParsedGeneration {
+  GenerationRequested Request;
   /// Server-sent events; otherwise one JSON answer.
   bool Stream = true;
 };
 
 /// What a caller can ask for.
-using CallerRequest =
-    std::variant<GenerationRequest, ResumeAsked, CancelAsked, CallAsked>;
+using CallerRequest = std::variant<ParsedGeneration, ResumeRequested,
+                                   CancelRequested, CallRequested>;
 
 /// Reads a request; the session is not set. An error's `Where` names the place
 /// in the request.
 base::Result<CallerRequest> readCallerRequest(const http::Request &request);
 
 /// Reads the time in a UUID of version 7 (RFC 9562).
-base::Result<base::WallTime> timeOfKey(std::string_view uuid);
+base::Result<base::WallTime> idempotencyKeyTime(std::string_view uuid);
 
 /// Returns the answer that carries a refusal. `detail` overrides the reason's
 /// own sentence.
--- a/src/entry/core-attempts.cc
+++ b/src/entry/core-attempts.cc
@@ -24,7 +24,7 @@
 constexpr std::size_t PrefixBytes = 256;
 constexpr double ExpectedOutputTokens = 360;
 
-std::uint64_t prefixHash(const GenerationAsked &e) {
+std::uint64_t prefixHash(const GenerationRequested &e) {
   if (e.Prompt.size() < PrefixBytes)
     return 0;
   return base::hash64(std::string_view(e.Prompt).substr(0, PrefixBytes),
@@ -32,7 +32,7 @@
 }
 
 /// True when the report says that the server holds what is asked for.
-bool holds(const wire::Report &report, const GenerationAsked &e) {
+bool reportsModel(const wire::Report &report, const GenerationRequested &e) {
   const std::string prefix = e.Model + "@" + e.Version;
   return std::any_of(report.models().begin(), report.models().end(),
                      [&](const std::string &name) {
@@ -50,16 +50,19 @@
 }
 
 /// The answer to a request whose reply was lost and cannot be asked for.
-Refusal lost() { return {Verdict::MayHaveRun, Reason::AnswerLost, RetryBusy}; }
+Refusal answerLost() {
+  return {Verdict::MayHaveRun, Reason::AnswerLost, RetryAfterBusy};
+}
 
 /// Reads a refusal. Another incarnation than the one that the attempt was sent
 /// to cannot know what became of an earlier copy of it.
-Refusal refusalOf(std::uint64_t meant, const wire::Reply &reply) {
+Refusal refusalOf(std::uint64_t expectedIncarnation, const wire::Reply &reply) {
   if (!reply.has_refused())
-    return lost();
+    return answerLost();
   Refusal why = wire::fromWire(reply.refused());
-  if (why.Outcome == Verdict::NotRun && reply.incarnation() != meant)
-    return {Verdict::MayHaveRun, Reason::OtherIncarnation, RetryBusy};
+  if (why.Outcome == Verdict::NotRun &&
+      reply.incarnation() != expectedIncarnation)
+    return {Verdict::MayHaveRun, Reason::OtherIncarnation, RetryAfterBusy};
   return why;
 }
 
@@ -84,69 +87,72 @@
   views.reserve(members.size());
   for (const Member *m : members) {
     const bool wasTried =
-        std::find(s.Tried.begin(), s.Tried.end(), m->Vm.Name) != s.Tried.end();
-    const bool isUsable = m->isUsable(now.Steady) && !wasTried &&
-                          (!s.Generation || holds(m->Report, *s.Generation));
+        std::find(s.TriedServers.begin(), s.TriedServers.end(), m->Vm.Name) !=
+        s.TriedServers.end();
+    const bool isUsable =
+        m->isUsable(now.Steady) && !wasTried &&
+        (!s.Generation || reportsModel(m->Report, *s.Generation));
     views.push_back({m->NameHash, isUsable, m->DistanceMs,
                      m->Report.used_tokens(), m->Report.capacity_tokens(),
-                     m->Report.waiting(), m->ReportedAt, m->SentSince});
+                     m->Report.waiting(), m->ReportedAt, m->SentSinceReport});
   }
   RouteQuery query;
   if (s.Generation) {
     query.PrefixHash = prefixHash(*s.Generation);
     query.RequestTokens =
-        promptTokens(s.Generation->Prompt) + ExpectedOutputTokens;
+        estimatePromptTokens(s.Generation->Prompt) + ExpectedOutputTokens;
   }
   const auto chosen = Routing.choose(views, query, now.Steady, Random);
   if (!chosen)
     return false;
   Member &member = *members[*chosen];
-  ++member.SentSince;
+  ++member.SentSinceReport;
   s.Server = member.Vm.Name;
   return true;
 }
 
 /// Asks an owner outside the subset for its incarnation, without which a "not
 /// run" of it would prove nothing; false when there is no such owner.
-bool Core::meetOwner(base::Now now, Session &s) {
+bool Core::discoverOwner(base::Now now, Session &s) {
   const bool hasOneOwner = s.Call && !s.Call->Repeatable;
-  if (!hasOneOwner || !Peers->find(s.Server) || s.CatchUps >= MostCatchUps)
+  if (!hasOneOwner || !Peers->find(s.Server) || s.BackoffCount >= MaxBackoffs)
     return false;
   wire::Request request;
   request.mutable_sync();
-  send(s.Server, std::move(request), {.Kind = MessageKind::Sync}, SyncLimit);
-  ++s.CatchUps;
+  send(s.Server, std::move(request), {.Kind = MessageKind::Sync}, SyncTimeout);
+  ++s.BackoffCount;
   s.State = Phase::Backoff;
-  s.RetryAt = now.Steady + CatchUpWait;
+  s.RetryAt = now.Steady + BackoffDelay;
   return true;
 }
 
-void Core::attempt(base::Now now, Session &s) {
+void Core::startAttempt(base::Now now, Session &s) {
   s.State = Phase::Starting;
-  s.Asks = 0;
+  s.RevokeCount = 0;
   if (s.Call && !s.Call->Repeatable)
     s.RequestId = "key~" + s.Organisation + "~" + s.Call->Key;
   if (!chooseServer(now, s)) {
-    if (meetOwner(now, s))
+    if (discoverOwner(now, s))
       return;
-    giveUp(now, s, {Verdict::NotRun, Reason::NoBackendServer, RetryBusy});
+    failSession(now, s,
+                {Verdict::NotRun, Reason::NoBackendServer, RetryAfterBusy});
     return;
   }
-  ++s.Tries;
+  ++s.AttemptCount;
   const std::string nonce = base::randomId();
   const Member &member = *Peers->find(s.Server);
   s.Incarnation = member.Incarnation;
   if (s.Generation || s.Call->Repeatable)
     s.RequestId =
         toString(wire::RequestId{s.Server, member.Incarnation, nonce});
-  s.Attempt = s.Generation ? s.RequestId : nonce;
+  s.AttemptId = s.Generation ? s.RequestId : nonce;
   count("drumlanding_attempts_total");
-  note("entry.route",
-       fmt::format("route request={} organisation={} server={} place={} "
-                   "try={} used={} waiting={} sent_since={}",
-                   s.RequestId, s.Organisation, s.Server, member.Vm.Place,
-                   s.Tries, member.Report.used_tokens(),
-                   member.Report.waiting(), member.SentSince));
+  logEvent("entry.route",
+           fmt::format("route request={} organisation={} server={} place={} "
+                       "try={} used={} waiting={} sent_since={}",
+                       s.RequestId, s.Organisation, s.Server, member.Vm.Place,
+                       s.AttemptCount, member.Report.used_tokens(),
+                       member.Report.waiting(), member.SentSinceReport));
   if (s.Generation)
     sendStart(now, s);
   else
@@ -154,7 +160,7 @@
 }
 
 void Core::sendStart(base::Now now, Session &s) {
-  const GenerationAsked &asked = *s.Generation;
+  const GenerationRequested &asked = *s.Generation;
   wire::Request request;
   wire::Start &start = *request.mutable_start();
   start.set_request_id(s.RequestId);
@@ -163,55 +169,55 @@
   start.set_version(asked.Version);
   start.set_adapter(asked.Adapter);
   start.set_prompt(asked.Prompt);
-  start.set_prompt_tokens(promptTokens(asked.Prompt));
+  start.set_prompt_tokens(estimatePromptTokens(asked.Prompt));
   start.set_max_tokens(asked.MaxTokens);
   start.set_incarnation(s.Incarnation);
-  start.set_not_after_ms((now.Wall + StartLimit).time_since_epoch().count());
+  start.set_not_after_ms((now.Wall + StartTimeout).time_since_epoch().count());
   send(s.Server, std::move(request),
-       {.Kind = MessageKind::Start, .Session = s.Id, .Attempt = s.Attempt},
-       ReplyLimit);
+       {.Kind = MessageKind::Start, .Session = s.Id, .AttemptId = s.AttemptId},
+       ReplyTimeout);
 }
 
 void Core::sendCall(base::Now now, Session &s) {
-  const CallAsked &asked = *s.Call;
+  const CallRequested &asked = *s.Call;
   wire::Request request;
   wire::Call &call = *request.mutable_call();
   call.set_request_id(s.RequestId);
-  call.set_attempt(s.Attempt);
+  call.set_attempt(s.AttemptId);
   call.set_organisation(s.Organisation);
   call.set_method(asked.Method);
   call.set_path(asked.Path);
   call.set_body(asked.Body);
   call.set_repeatable(asked.Repeatable);
   call.set_key_time_ms(asked.KeyTime.time_since_epoch().count());
-  call.set_not_after_ms((now.Wall + StartLimit).time_since_epoch().count());
+  call.set_not_after_ms((now.Wall + StartTimeout).time_since_epoch().count());
   send(s.Server, std::move(request),
-       {.Kind = MessageKind::Call, .Session = s.Id, .Attempt = s.Attempt},
-       CallLimit);
+       {.Kind = MessageKind::Call, .Session = s.Id, .AttemptId = s.AttemptId},
+       CallTimeout);
 }
 
 void Core::sendRevoke(base::Now, Session &s) {
-  s.State = Phase::Asking;
-  ++s.Asks;
+  s.State = Phase::ResolvingLostReply;
+  ++s.RevokeCount;
   wire::Request request;
   request.mutable_revoke()->set_request_id(s.RequestId);
   if (s.Call)
-    request.mutable_revoke()->set_attempt(s.Attempt);
-  const MessageId sent =
-      send(s.Server, std::move(request),
-           {.Kind = MessageKind::Revoke, .Session = s.Id, .Attempt = s.Attempt},
-           ReplyLimit);
-  note("entry.ask", fmt::format("ask request={} server={} time={}", s.RequestId,
-                                s.Server, s.Asks));
+    request.mutable_revoke()->set_attempt(s.AttemptId);
+  const MessageId sent = send(
+      s.Server, std::move(request),
+      {.Kind = MessageKind::Revoke, .Session = s.Id, .AttemptId = s.AttemptId},
+      ReplyTimeout);
+  logEvent("entry.ask", fmt::format("ask request={} server={} time={}",
+                                    s.RequestId, s.Server, s.RevokeCount));
   if (sent == 0)
-    s.Asks = MostAsks;
+    s.RevokeCount = MaxRevokes;
 }
 
 void Core::onLostReply(base::Now now, Session &s) {
-  if (Options.On.AskAfterLostReplies)
+  if (Options.On.ResolveLostReplies)
     sendRevoke(now, s);
   else
-    retryOrGiveUp(now, s, {Verdict::NotRun, Reason::AnswerLost, RetryBusy});
+    retryOrFail(now, s, {Verdict::NotRun, Reason::AnswerLost, RetryAfterBusy});
 }
 
 void Core::onStartReply(base::Now now, Session &s,
@@ -222,9 +228,9 @@
   }
   const wire::Reply &reply = value(r);
   if (reply.has_accepted())
-    follow(now, s);
+    followStream(now, s);
   else
-    retryOrGiveUp(now, s, refusalOf(s.Incarnation, reply));
+    retryOrFail(now, s, refusalOf(s.Incarnation, reply));
 }
 
 void Core::onCallReply(base::Now now, Session &s,
@@ -235,22 +241,23 @@
   }
   const wire::Reply &reply = value(r);
   if (!reply.has_call()) {
-    retryOrGiveUp(now, s, refusalOf(s.Incarnation, reply));
+    retryOrFail(now, s, refusalOf(s.Incarnation, reply));
     return;
   }
   base::invariant(base::Invariant::OwnAnswerOnly,
                   reply.call().request_id() == s.RequestId, s.RequestId);
-  Out.push_back(AnswerSession{s.Id, reply.call()});
+  Output.push_back(AnswerSession{s.Id, reply.call()});
   count("drumlanding_requests_total", "verdict", toString(Verdict::Ran));
-  close(s.Id);
+  closeSession(s.Id);
 }
 
-void Core::onAskReply(base::Now now, Session &s, const Result<wire::Reply> &r) {
+void Core::onRevokeReply(base::Now now, Session &s,
+                         const Result<wire::Reply> &r) {
   if (!ok(r)) {
-    if (s.Asks < MostAsks)
+    if (s.RevokeCount < MaxRevokes)
       sendRevoke(now, s);
     else
-      retryOrGiveUp(now, s, lost());
+      retryOrFail(now, s, answerLost());
     return;
   }
   if (s.Call)
@@ -259,12 +266,12 @@
     onStartReply(now, s, r);
 }
 
-void Core::retryOrGiveUp(base::Now now, Session &s, Refusal why) {
+void Core::retryOrFail(base::Now now, Session &s, Refusal why) {
   s.MayHaveRun = s.MayHaveRun || why.Outcome == Verdict::MayHaveRun;
   const bool isBehind =
       why.Why == Reason::BundleBehind || why.Why == Reason::SenderBehind;
-  if (isBehind && s.CatchUps < MostCatchUps) {
-    catchUp(now, s, why);
+  if (isBehind && s.BackoffCount < MaxBackoffs) {
+    backOff(now, s, why);
     return;
   }
   const bool isRepeatable =
@@ -276,50 +283,52 @@
   const bool hasOneOwner = s.Call && !s.Call->Repeatable;
   const bool isFinal =
       why.Why == Reason::Cancelled || why.Why == Reason::UnknownOrganisation;
-  if (!isSafe || hasOneOwner || isFinal || s.Tries >= MostTries) {
-    giveUp(now, s, why);
+  if (!isSafe || hasOneOwner || isFinal || s.AttemptCount >= MaxAttempts) {
+    failSession(now, s, why);
     return;
   }
   if (Options.On.LimitRetries && !Budget.tryRetry()) {
-    giveUp(now, s, why);
+    failSession(now, s, why);
     return;
   }
-  note("entry.retry",
-       fmt::format("retry request={} verdict={} reason={}", s.RequestId,
-                   toString(why.Outcome), toString(why.Why)));
-  s.Tried.push_back(s.Server);
-  unfollow(s);
-  attempt(now, s);
+  logEvent("entry.retry",
+           fmt::format("retry request={} verdict={} reason={}", s.RequestId,
+                       toString(why.Outcome), toString(why.Why)));
+  s.TriedServers.push_back(s.Server);
+  unfollowStream(s);
+  startAttempt(now, s);
 }
 
-void Core::catchUp(base::Now now, Session &s, Refusal why) {
-  ++s.CatchUps;
-  --s.Tries;
+void Core::backOff(base::Now now, Session &s, Refusal why) {
+  ++s.BackoffCount;
+  --s.AttemptCount;
   s.State = Phase::Backoff;
-  s.RetryAt = now.Steady + CatchUpWait;
-  note("entry.retry", fmt::format("wait request={} reason={}", s.RequestId,
-                                  toString(why.Why)));
+  s.RetryAt = now.Steady + BackoffDelay;
+  logEvent("entry.retry", fmt::format("wait request={} reason={}", s.RequestId,
+                                      toString(why.Why)));
 }
 
 void Core::onAttachReply(base::Now now, Session &s,
                          const Result<wire::Reply> &r) {
   const auto id = wire::parseRequestId(s.RequestId);
-  const bool isOther = ok(r) && value(r).incarnation() != value(id).Incarnation;
-  if (isOther) {
+  const bool isOtherIncarnation =
+      ok(r) && value(r).incarnation() != value(id).Incarnation;
+  if (isOtherIncarnation) {
     // Its tokens died with the agent that held them.
-    giveUp(now, s, {Verdict::MayHaveRun, Reason::OtherIncarnation, {}});
+    failSession(now, s, {Verdict::MayHaveRun, Reason::OtherIncarnation, {}});
     return;
   }
   if (ok(r) && value(r).has_accepted()) {
-    follow(now, s);
+    followStream(now, s);
     return;
   }
   if (ok(r) && value(r).has_refused()) {
-    giveUp(now, s, wire::fromWire(value(r).refused()));
+    failSession(now, s, wire::fromWire(value(r).refused()));
     return;
   }
   // The stream itself goes on; the caller may come back for it.
-  giveUp(now, s, {Verdict::MayHaveRun, Reason::BackendServerLost, RetryBusy});
+  failSession(now, s,
+              {Verdict::MayHaveRun, Reason::BackendServerLost, RetryAfterBusy});
 }
 
 void Core::onCancelReply(base::Now now, Session &s,
@@ -327,15 +336,16 @@
   if (ok(r) && value(r).has_accepted()) {
     wire::CallReply done;
     done.set_status(204);
-    Out.push_back(AnswerSession{s.Id, std::move(done)});
-    close(s.Id);
+    Output.push_back(AnswerSession{s.Id, std::move(done)});
+    closeSession(s.Id);
     return;
   }
   if (ok(r) && value(r).has_refused()) {
-    giveUp(now, s, wire::fromWire(value(r).refused()));
+    failSession(now, s, wire::fromWire(value(r).refused()));
     return;
   }
-  giveUp(now, s, {Verdict::MayHaveRun, Reason::AnswerLost, RetryBusy});
+  failSession(now, s,
+              {Verdict::MayHaveRun, Reason::AnswerLost, RetryAfterBusy});
 }
 
 } // namespace drumlanding::entry
--- a/src/entry/core-documents.cc
+++ b/src/entry/core-documents.cc
@@ -16,93 +16,95 @@
 
 void Core::on(base::Now now, VmsListed &e) {
   for (const std::string &name :
-       Peers->list(now.Steady, e.Vms, Options.Place)) {
-    note("entry.members", "gone from the platform's list: " + name);
-    Out.push_back(ForgetPeer{name});
+       Peers->applyList(now.Steady, e.Vms, Options.Place)) {
+    logEvent("entry.members", "gone from the platform's list: " + name);
+    Output.push_back(DisconnectPeer{name});
   }
   if (const auto bundle = Documents.bundle())
-    Peers->measure(*bundle, Options.Place);
+    Peers->updateDistances(*bundle, Options.Place);
 }
 
 void Core::on(base::Now now, DocumentRead &e) {
   wire::Document document;
   document.set_kind(e.Kind);
   document.set_body(e.Body);
-  takeDocument(now, document, "the key-value service");
+  applyDocument(now, document, "the key-value service");
 }
 
-void Core::takeDocument(base::Now now, const wire::Document &document,
-                        std::string_view from) {
+void Core::applyDocument(base::Now now, const wire::Document &document,
+                         std::string_view from) {
   const wire::DocumentKind kind = document.kind();
   std::string why;
-  const plan::Offer offer = Documents.unpack(now.Wall, document, &why);
+  const plan::OfferResult offer =
+      Documents.offerPacked(now.Wall, document, &why);
   // A difference that did not fit: the next one comes whole.
   if (Member *member = Peers->find(from))
-    member->WantsWhole =
-        offer == plan::Offer::Invalid && document.base_version() != 0;
-  if (offer == plan::Offer::Invalid)
-    note("entry.document", fmt::format("refused a {} from {}: {}",
-                                       plan::toString(kind), from, why));
-  if (offer != plan::Offer::Taken)
+    member->NeedsFullDocument =
+        offer == plan::OfferResult::Invalid && document.base_version() != 0;
+  if (offer == plan::OfferResult::Invalid)
+    logEvent("entry.document", fmt::format("refused a {} from {}: {}",
+                                           plan::toString(kind), from, why));
+  if (offer != plan::OfferResult::Taken)
     return;
   const wire::Versions versions = Documents.versions();
-  note("entry.document",
-       fmt::format("in force: {} version={} from {}", plan::toString(kind),
-                   kind == wire::BUNDLE ? versions.bundle() : versions.plan(),
-                   from));
+  logEvent(
+      "entry.document",
+      fmt::format("in force: {} version={} from {}", plan::toString(kind),
+                  kind == wire::BUNDLE ? versions.bundle() : versions.plan(),
+                  from));
   if (kind != wire::BUNDLE)
     return;
   const auto bundle = Documents.bundle();
-  OrganisationOfCredential.clear();
+  OrganisationByCredentialHash.clear();
   for (const bundle::Organisation &o : bundle->Organisations)
-    OrganisationOfCredential[o.CredentialHash] = o.Name;
-  Peers->measure(*bundle, Options.Place);
+    OrganisationByCredentialHash[o.CredentialHash] = o.Name;
+  Peers->updateDistances(*bundle, Options.Place);
 }
 
 void Core::syncAll(base::Now now) {
   for (Member *member : Peers->subset()) {
-    if (member->SyncPending || now.Steady < member->NextSync)
+    if (member->SyncPending || now.Steady < member->NextSyncAt)
       continue;
     member->SyncPending = true;
-    member->NextSync =
-        now.Steady + (member->isAgent() ? SyncEvery : SyncEntriesEvery);
+    member->NextSyncAt = now.Steady + (member->isAgent() ? AgentSyncInterval
+                                                         : EntrySyncInterval);
     wire::Request request;
     request.mutable_sync()->set_listed_leaving(member->Vm.IsLeaving);
     request.mutable_sync()->set_known_models(member->Report.models_digest());
     send(member->Vm.Name, std::move(request), {.Kind = MessageKind::Sync},
-         SyncLimit);
+         SyncTimeout);
   }
 }
 
-void Core::compareVersions(base::Now, const std::string &peer,
-                           const wire::Versions &theirs) {
+void Core::reconcileVersions(base::Now, const std::string &peer,
+                             const wire::Versions &theirs) {
   Member *member = Peers->find(peer);
   if (!member)
     return;
   member->Versions = theirs;
-  if (member->DocumentPending || !Options.On.SpreadDocuments)
+  if (member->DocumentPending || !Options.On.PropagateDocuments)
     return;
   const wire::Versions ours = Documents.versions();
   const auto fetch = [&](wire::DocumentKind kind) {
     wire::Request request;
     request.mutable_fetch()->set_kind(kind);
-    if (kind == wire::BUNDLE && !member->WantsWhole)
+    if (kind == wire::BUNDLE && !member->NeedsFullDocument)
       request.mutable_fetch()->set_base_version(ours.bundle());
     member->DocumentPending = true;
     send(peer, std::move(request),
-         {.Kind = MessageKind::Fetch, .Document = kind}, DocumentLimit);
+         {.Kind = MessageKind::Fetch, .Document = kind}, DocumentTimeout);
   };
   const auto push = [&](wire::DocumentKind kind) {
     wire::Request request;
     // A push that the peer did not take is sent whole the next time.
     const std::uint64_t base =
-        member->Pushed == ours.bundle() ? 0 : theirs.bundle();
+        member->PushedBundleVersion == ours.bundle() ? 0 : theirs.bundle();
     if (kind == wire::BUNDLE)
-      member->Pushed = ours.bundle();
+      member->PushedBundleVersion = ours.bundle();
     *request.mutable_push()->mutable_document() = Documents.pack(kind, base);
     member->DocumentPending = true;
     send(peer, std::move(request),
-         {.Kind = MessageKind::Push, .Document = kind}, DocumentLimit);
+         {.Kind = MessageKind::Push, .Document = kind}, DocumentTimeout);
   };
   if (theirs.bundle() > ours.bundle())
     fetch(wire::BUNDLE);
@@ -126,7 +128,7 @@
   if (!ok(r))
     return;
   if (value(r).has_document())
-    takeDocument(now, value(r).document(), sent.Peer);
+    applyDocument(now, value(r).document(), sent.Peer);
   if (!value(r).has_report())
     return;
   wire::Report report = value(r).report();
@@ -134,14 +136,14 @@
     *report.mutable_models() = member->Report.models();
   member->Report = std::move(report);
   member->ReportedAt = now.Steady;
-  member->SentSince = 0;
+  member->SentSinceReport = 0;
 }
 
-void Core::on(base::Now now, PeerAsked &e) {
+void Core::on(base::Now now, PeerRequestArrived &e) {
   wire::Reply reply;
   const wire::Request &m = e.Message;
   if (m.has_push())
-    takeDocument(now, m.push().document(), m.sender());
+    applyDocument(now, m.push().document(), m.sender());
   if (m.has_fetch()) {
     *reply.mutable_document() =
         Documents.pack(m.fetch().kind(), m.fetch().base_version());
@@ -152,8 +154,8 @@
         wire::toWire({Verdict::NotRun, Reason::MalformedRequest, {}});
   }
   *reply.mutable_versions() = Documents.versions();
-  Out.push_back(ReplyToPeer{e.Reply, std::move(reply)});
-  compareVersions(now, m.sender(), m.versions());
+  Output.push_back(ReplyToPeer{e.ReplyId, std::move(reply)});
+  reconcileVersions(now, m.sender(), m.versions());
 }
 
 } // namespace drumlanding::entry
--- a/src/entry/core.cc
+++ b/src/entry/core.cc
@@ -19,13 +19,14 @@
     : Options(std::move(options)), Documents(Options.Trusted),
       Peers(std::make_unique<Members>(Options.Name, Options.SubsetSize)),
       Routing(Options.Routing), Random(Options.Seed),
-      Budget(RetryPart, RetryBurst) {}
+      Budget(RetryRatio, RetryBurst) {}
 
 Core::~Core() = default;
 
-void Core::note(std::string_view part, const std::string &sentence) const {
-  if (Options.Note)
-    Options.Note(part, sentence);
+void Core::logEvent(std::string_view component,
+                    const std::string &message) const {
+  if (Options.LogEvent)
+    Options.LogEvent(component, message);
 }
 
 void Core::count(std::string_view metric, std::string_view label,
@@ -39,9 +40,9 @@
 }
 
 Commands Core::handle(base::Now now, Event event) {
-  Out.clear();
+  Output.clear();
   std::visit([&](auto &e) { on(now, e); }, event);
-  return std::move(Out);
+  return std::move(Output);
 }
 
 MessageId Core::send(const std::string &peer, wire::Request request,
@@ -53,8 +54,8 @@
   request.set_sender(Options.Name);
   *request.mutable_versions() = Documents.versions();
   sent.Peer = peer;
-  Sent.emplace(id, std::move(sent));
-  Out.push_back(
+  PendingMessages.emplace(id, std::move(sent));
+  Output.push_back(
       SendMessage{id, peer, member->Vm.Control, std::move(request), timeout});
   return id;
 }
@@ -64,24 +65,25 @@
   const auto bundle = Documents.bundle();
   if (!bundle || IsLeaving) {
     const Reason why = IsLeaving ? Reason::Leaving : Reason::NotReady;
-    Out.push_back(RefuseSession{id, {Verdict::NotRun, why, RetryNotReady}});
+    Output.push_back(
+        RefuseSession{id, {Verdict::NotRun, why, RetryAfterNotReady}});
     return nullptr;
   }
   const auto it =
-      OrganisationOfCredential.find(bundle::credentialHash(credential));
-  if (it != OrganisationOfCredential.end())
+      OrganisationByCredentialHash.find(bundle::credentialHash(credential));
+  if (it != OrganisationByCredentialHash.end())
     return bundle->organisation(it->second);
-  Out.push_back(
+  Output.push_back(
       RefuseSession{id, {Verdict::NotRun, Reason::UnknownOrganisation, {}}});
   return nullptr;
 }
 
-Core::Session *Core::open(base::Now now, SessionId id,
-                          const bundle::Organisation &o) {
+Core::Session *Core::openSession(base::Now now, SessionId id,
+                                 const bundle::Organisation &o) {
   if (!Limits.tryOpen(now.Steady, o)) {
     count("drumlanding_refusals_total", "reason",
           toString(Reason::OrganisationLimit));
-    Out.push_back(RefuseSession{
+    Output.push_back(RefuseSession{
         id,
         {Verdict::NotRun, Reason::OrganisationLimit, Limits.retryAfter(o)}});
     return nullptr;
@@ -89,12 +91,12 @@
   Session &s = Sessions[id];
   s.Id = id;
   s.Organisation = o.Name;
-  s.AskedAt = now.Steady;
-  s.Deadline = now.Steady + StartLimit;
+  s.RequestedAt = now.Steady;
+  s.Deadline = now.Steady + StartTimeout;
   return &s;
 }
 
-Refusal Core::checkGeneration(const GenerationAsked &e,
+Refusal Core::checkGeneration(const GenerationRequested &e,
                               const bundle::Organisation &o) const {
   const auto bundle = Documents.bundle();
   const bundle::Model *model = bundle->model(e.Model);
@@ -110,12 +112,12 @@
   if (!has(o.Contract.Models, e.Model))
     return {Verdict::NotRun, Reason::NotAllowed, {}};
   if (e.Prompt.size() > bundle->Limits.MaxBodyBytes ||
-      promptTokens(e.Prompt) > bundle->Limits.MaxPromptTokens)
+      estimatePromptTokens(e.Prompt) > bundle->Limits.MaxPromptTokens)
     return {Verdict::NotRun, Reason::BodyTooLarge, {}};
   return {};
 }
 
-Refusal Core::checkCall(base::Now now, const CallAsked &e,
+Refusal Core::checkCall(base::Now now, const CallRequested &e,
                         const bundle::Organisation &o) const {
   const auto bundle = Documents.bundle();
   const bundle::Service *service = bundle->service(e.Service);
@@ -127,106 +129,110 @@
   if (e.Body.size() > bundle->Limits.MaxBodyBytes)
     return {Verdict::NotRun, Reason::BodyTooLarge, {}};
   // A key from the future could outlive the memory of what it ran.
-  if (!e.Repeatable && (e.Key.empty() || e.KeyTime > now.Wall + ClockError))
+  if (!e.Repeatable && (e.Key.empty() || e.KeyTime > now.Wall + MaxClockSkew))
     return {Verdict::NotRun, Reason::MalformedRequest, {}};
   return {};
 }
 
-void Core::on(base::Now now, GenerationAsked &e) {
+void Core::on(base::Now now, GenerationRequested &e) {
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
   if (const Refusal why = checkGeneration(e, *o); why.Why != Reason::None) {
-    Out.push_back(RefuseSession{e.Session, why});
+    Output.push_back(RefuseSession{e.Session, why});
     return;
   }
-  Session *s = open(now, e.Session, *o);
+  Session *s = openSession(now, e.Session, *o);
   if (!s)
     return;
   const auto bundle = Documents.bundle();
   e.MaxTokens = std::min(e.MaxTokens, bundle->Limits.MaxOutputTokens);
   s->Generation = std::move(e);
-  Budget.firstAttempt();
-  attempt(now, *s);
+  Budget.recordFirstAttempt();
+  startAttempt(now, *s);
 }
 
-void Core::on(base::Now now, CallAsked &e) {
+void Core::on(base::Now now, CallRequested &e) {
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
   if (const Refusal why = checkCall(now, e, *o); why.Why != Reason::None) {
-    Out.push_back(RefuseSession{e.Session, why});
+    Output.push_back(RefuseSession{e.Session, why});
     return;
   }
-  Session *s = open(now, e.Session, *o);
+  Session *s = openSession(now, e.Session, *o);
   if (!s)
     return;
   s->Call = std::move(e);
-  s->Deadline = now.Steady + CallLimit + MostAsks * ReplyLimit;
-  Budget.firstAttempt();
-  attempt(now, *s);
+  s->Deadline = now.Steady + CallTimeout + MaxRevokes * ReplyTimeout;
+  Budget.recordFirstAttempt();
+  startAttempt(now, *s);
 }
 
-void Core::on(base::Now now, ResumeAsked &e) {
+void Core::on(base::Now now, ResumeRequested &e) {
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
   const auto id = wire::parseRequestId(e.RequestId);
   const Refusal notFound{Verdict::NotRun, Reason::NotFound, {}};
   if (!ok(id) || !Peers->find(value(id).Server)) {
-    Out.push_back(RefuseSession{e.Session, notFound});
+    Output.push_back(RefuseSession{e.Session, notFound});
     return;
   }
-  Session *s = open(now, e.Session, *o);
+  Session *s = openSession(now, e.Session, *o);
   if (!s)
     return;
   s->State = Phase::Attaching;
   s->RequestId = e.RequestId;
-  s->Attempt = e.RequestId;
+  s->AttemptId = e.RequestId;
   s->Server = value(id).Server;
   s->NextIndex = e.NextIndex;
   wire::Request request;
   request.mutable_attach()->set_request_id(s->RequestId);
   request.mutable_attach()->set_organisation(s->Organisation);
   send(s->Server, std::move(request),
-       {.Kind = MessageKind::Attach, .Session = s->Id, .Attempt = s->Attempt},
-       ReplyLimit);
+       {.Kind = MessageKind::Attach,
+        .Session = s->Id,
+        .AttemptId = s->AttemptId},
+       ReplyTimeout);
 }
 
-void Core::on(base::Now now, CancelAsked &e) {
+void Core::on(base::Now now, CancelRequested &e) {
   const bundle::Organisation *o = authorise(e.Session, e.Credential);
   if (!o)
     return;
   const auto id = wire::parseRequestId(e.RequestId);
   if (!ok(id) || !Peers->find(value(id).Server)) {
-    Out.push_back(
+    Output.push_back(
         RefuseSession{e.Session, {Verdict::NotRun, Reason::NotFound, {}}});
     return;
   }
-  Session *s = open(now, e.Session, *o);
+  Session *s = openSession(now, e.Session, *o);
   if (!s)
     return;
   s->State = Phase::Cancelling;
   s->RequestId = e.RequestId;
-  s->Attempt = e.RequestId;
+  s->AttemptId = e.RequestId;
   s->Server = value(id).Server;
   wire::Request request;
   request.mutable_cancel()->set_request_id(s->RequestId);
   request.mutable_cancel()->set_organisation(s->Organisation);
   send(s->Server, std::move(request),
-       {.Kind = MessageKind::Cancel, .Session = s->Id, .Attempt = s->Attempt},
-       ReplyLimit);
+       {.Kind = MessageKind::Cancel,
+        .Session = s->Id,
+        .AttemptId = s->AttemptId},
+       ReplyTimeout);
 }
 
-void Core::on(base::Now, SessionClosed &e) { close(e.Session); }
+void Core::on(base::Now, SessionClosed &e) { closeSession(e.Session); }
 
 void Core::on(base::Now, LeaveOrdered &) {
   IsLeaving = true;
-  note("entry.drain",
-       fmt::format("leaving: {} sessions open", Sessions.size()));
+  logEvent("entry.drain",
+           fmt::format("leaving: {} sessions open", Sessions.size()));
 }
 
-void Core::giveUp(base::Now, Session &s, Refusal why) {
+void Core::failSession(base::Now, Session &s, Refusal why) {
   if (s.MayHaveRun && why.Outcome == Verdict::NotRun)
     why.Outcome = Verdict::MayHaveRun;
   base::invariant(base::Invariant::NotRunIsProven,
@@ -234,21 +240,21 @@
                       !s.Generation,
                   s.RequestId);
   count("drumlanding_refusals_total", "reason", toString(why.Why));
-  note("entry.end",
-       fmt::format("end request={} verdict={} reason={}", s.RequestId,
-                   toString(why.Outcome), toString(why.Why)));
-  if (s.Begun)
-    Out.push_back(EndStream{s.Id, why});
+  logEvent("entry.end",
+           fmt::format("end request={} verdict={} reason={}", s.RequestId,
+                       toString(why.Outcome), toString(why.Why)));
+  if (s.HasBegun)
+    Output.push_back(EndStream{s.Id, why});
   else
-    Out.push_back(RefuseSession{s.Id, why});
-  close(s.Id);
+    Output.push_back(RefuseSession{s.Id, why});
+  closeSession(s.Id);
 }
 
-void Core::close(SessionId id) {
+void Core::closeSession(SessionId id) {
   const auto it = Sessions.find(id);
   if (it == Sessions.end())
     return;
-  unfollow(it->second);
+  unfollowStream(it->second);
   Limits.close(it->second.Organisation);
   Sessions.erase(it);
 }
@@ -262,32 +268,33 @@
   for (SessionId id : due) {
     Session &s = Sessions.at(id);
     if (now.Steady >= s.Deadline)
-      giveUp(now, s,
-             {s.State == Phase::Backoff ? Verdict::NotRun : Verdict::MayHaveRun,
-              Reason::AnswerLost, RetryNotReady});
+      failSession(
+          now, s,
+          {s.State == Phase::Backoff ? Verdict::NotRun : Verdict::MayHaveRun,
+           Reason::AnswerLost, RetryAfterNotReady});
     else
-      attempt(now, s);
+      startAttempt(now, s);
   }
 }
 
 void Core::on(base::Now now, Tick &) {
   pollAll(now);
-  if (now.Steady - LastCheck < CheckEvery)
+  if (now.Steady - LastCheckAt < CheckInterval)
     return;
-  LastCheck = now.Steady;
+  LastCheckAt = now.Steady;
   syncAll(now);
   checkSessions(now);
 }
 
 void Core::on(base::Now now, ReplyArrived &e) {
-  const auto node = Sent.extract(e.Message);
+  const auto node = PendingMessages.extract(e.Message);
   if (node.empty())
     return;
   const SentMessage &sent = node.mapped();
   if (ok(e.Reply)) {
     if (Member *member = Peers->find(sent.Peer))
       member->Incarnation = value(e.Reply).incarnation();
-    compareVersions(now, sent.Peer, value(e.Reply).versions());
+    reconcileVersions(now, sent.Peer, value(e.Reply).versions());
   }
   switch (sent.Kind) {
   case MessageKind::Poll:
@@ -303,7 +310,7 @@
   }
   const auto it = Sessions.find(sent.Session);
   // The session is over, or this is the reply of an attempt before.
-  if (it == Sessions.end() || it->second.Attempt != sent.Attempt)
+  if (it == Sessions.end() || it->second.AttemptId != sent.AttemptId)
     return;
   Session &s = it->second;
   switch (sent.Kind) {
@@ -314,7 +321,7 @@
     onCallReply(now, s, e.Reply);
     return;
   case MessageKind::Revoke:
-    onAskReply(now, s, e.Reply);
+    onRevokeReply(now, s, e.Reply);
     return;
   case MessageKind::Attach:
     onAttachReply(now, s, e.Reply);
--- a/src/entry/limits.cc
+++ b/src/entry/limits.cc
@@ -8,7 +8,7 @@
 
 /// A rate limit lets this many seconds' worth of requests come at once.
 constexpr double BurstSeconds = 2;
-constexpr base::milliseconds LeastRetryAfter{100};
+constexpr base::milliseconds MinRetryAfter{100};
 
 double burstOf(const bundle::Organisation &o) {
   return std::max(1.0, o.Contract.RequestsPerSecond * BurstSeconds);
@@ -16,44 +16,47 @@
 
 } // namespace
 
-void RetryBudget::firstAttempt() { Saved = std::min(Saved + Part, Burst); }
+void RetryBudget::recordFirstAttempt() {
+  Balance = std::min(Balance + Ratio, Burst);
+}
 
 bool RetryBudget::tryRetry() {
-  if (Saved < 1)
+  if (Balance < 1)
     return false;
-  Saved -= 1;
+  Balance -= 1;
   return true;
 }
 
 bool OrganisationLimits::tryOpen(base::Instant now,
                                  const bundle::Organisation &o) {
-  Use &use = Uses[o.Name];
-  if (use.IsNew) {
-    use.Saved = burstOf(o);
-    use.IsNew = false;
+  Usage &usage = UsageByOrganisation[o.Name];
+  if (usage.IsNew) {
+    usage.Balance = burstOf(o);
+    usage.IsNew = false;
   } else {
-    const std::chrono::duration<double> since = now - use.At;
-    use.Saved = std::min(
-        use.Saved + since.count() * o.Contract.RequestsPerSecond, burstOf(o));
+    const std::chrono::duration<double> elapsed = now - usage.UpdatedAt;
+    usage.Balance =
+        std::min(usage.Balance + elapsed.count() * o.Contract.RequestsPerSecond,
+                 burstOf(o));
   }
-  use.At = now;
-  if (use.Open >= o.Contract.MaxOpen || use.Saved < 1)
+  usage.UpdatedAt = now;
+  if (usage.OpenRequests >= o.Contract.MaxOpen || usage.Balance < 1)
     return false;
-  use.Saved -= 1;
-  ++use.Open;
+  usage.Balance -= 1;
+  ++usage.OpenRequests;
   return true;
 }
 
 void OrganisationLimits::close(std::string_view organisation) {
-  const auto it = Uses.find(organisation);
-  if (it != Uses.end() && it->second.Open > 0)
-    --it->second.Open;
+  const auto it = UsageByOrganisation.find(organisation);
+  if (it != UsageByOrganisation.end() && it->second.OpenRequests > 0)
+    --it->second.OpenRequests;
 }
 
 base::milliseconds
 OrganisationLimits::retryAfter(const bundle::Organisation &o) const {
   const double ms = std::ceil(1000 / o.Contract.RequestsPerSecond);
-  return std::max(LeastRetryAfter,
+  return std::max(MinRetryAfter,
                   base::milliseconds(static_cast<std::int64_t>(ms)));
 }
 
--- a/src/entry/members.cc
+++ b/src/entry/members.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// Other entries that an entry exchanges documents with.
-constexpr std::size_t EntryPeers = 8;
+constexpr std::size_t MaxEntryPeers = 8;
 /// A peer that the list no longer names is forgotten after this silence.
-constexpr base::seconds ForgetAfter{15};
+constexpr base::seconds RemoveAfter{15};
 
 } // namespace
 
@@ -21,9 +21,9 @@
 Members::Members(std::string self, std::size_t subsetSize)
     : Self(std::move(self)), SubsetSize(subsetSize) {}
 
-std::vector<std::string> Members::list(base::Instant now,
-                                       const std::vector<ListedVm> &vms,
-                                       std::string_view place) {
+std::vector<std::string> Members::applyList(base::Instant now,
+                                            const std::vector<ListedVm> &vms,
+                                            std::string_view place) {
   std::set<std::string, std::less<>> listed;
   for (const ListedVm &vm : vms) {
     if (vm.Name == Self)
@@ -35,22 +35,22 @@
       member.NameHash = base::hash64(vm.Name);
       // Spread the first reports, so that a place that comes back is not
       // asked by everybody at once.
-      member.NextSync =
+      member.NextSyncAt =
           now + base::milliseconds(
                     base::mix64(member.NameHash, base::hash64(Self)) % 300);
     }
     member.Vm = vm;
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   // The list lags and can be empty after a restart of the platform: who still
   // reports is there.
   for (const auto &[name, member] : All)
-    if (!listed.contains(name) && now - member.ReportedAt > ForgetAfter)
-      gone.push_back(name);
-  for (const std::string &name : gone)
+    if (!listed.contains(name) && now - member.ReportedAt > RemoveAfter)
+      removed.push_back(name);
+  for (const std::string &name : removed)
     All.erase(name);
   chooseSubset(place);
-  return gone;
+  return removed;
 }
 
 void Members::chooseSubset(std::string_view place) {
@@ -74,8 +74,8 @@
                 return base::mix64(self, a->NameHash) >
                        base::mix64(self, b->NameHash);
               });
-    const std::size_t most = service.empty() ? EntryPeers : SubsetSize;
-    members.resize(std::min(members.size(), most));
+    const std::size_t maxMembers = service.empty() ? MaxEntryPeers : SubsetSize;
+    members.resize(std::min(members.size(), maxMembers));
     for (Member *member : members) {
       member->InSubset = true;
       Subset.push_back(member);
@@ -85,7 +85,8 @@
   }
 }
 
-void Members::measure(const bundle::Bundle &bundle, std::string_view place) {
+void Members::updateDistances(const bundle::Bundle &bundle,
+                              std::string_view place) {
   for (auto &[name, member] : All)
     member.DistanceMs = bundle.oneWayMs(place, member.Vm.Place);
 }
--- a/src/entry/plan-keeper.cc
+++ b/src/entry/plan-leader.cc
@@ -1,4 +1,4 @@
-#include "plan-keeper.h"
+#include "plan-leader.h"
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/base/log.h"
@@ -16,16 +16,17 @@
 namespace asio = platform::asio;
 using daemon::sleepFor;
 
-constexpr base::milliseconds LeaseTime{5'000};
-constexpr base::milliseconds Round{1'000};
+constexpr base::milliseconds LeaseTtl{5'000};
+constexpr base::milliseconds PlanInterval{1'000};
 /// How often an entry without the lease looks whether it is free.
-constexpr base::milliseconds LookEvery{3'000};
+constexpr base::milliseconds LeaseCheckInterval{3'000};
 
 const base::Log PlanLog("entry.plan");
 
 } // namespace
 
-bool reportsAll(const wire::Report &report, const plan::Assignment &assigned) {
+bool reportsAllModels(const wire::Report &report,
+                      const plan::Assignment &assigned) {
   return std::all_of(assigned.Models.begin(), assigned.Models.end(),
                      [&](const plan::LoadedModel &m) {
                        const std::string name = m.Model + "@" + m.Version;
@@ -35,45 +36,46 @@
                      });
 }
 
-PlanKeeper::PlanKeeper(const platform::Client &platform, std::string name,
-                       Source source)
-    : Platform(platform), Name(std::move(name)), Input(std::move(source)) {}
+PlanLeader::PlanLeader(const platform::Client &platform, std::string name,
+                       InputProvider provideInput)
+    : Platform(platform), Name(std::move(name)),
+      ProvideInput(std::move(provideInput)) {}
 
-asio::awaitable<void> PlanKeeper::run() {
+asio::awaitable<void> PlanLeader::run() {
   for (;;) {
-    if (Lease == 0)
-      co_await takeLease();
-    if (Lease == 0) {
-      co_await sleepFor(LookEvery);
+    if (LeaseId == 0)
+      co_await acquireLease();
+    if (LeaseId == 0) {
+      co_await sleepFor(LeaseCheckInterval);
       continue;
     }
     co_await planOnce();
-    co_await sleepFor(Round);
-    const auto renewed = co_await Platform.renewLease(Lease);
+    co_await sleepFor(PlanInterval);
+    const auto renewed = co_await Platform.renewLease(LeaseId);
     if (ok(renewed))
       continue;
     PlanLog.info("lease lost: {}", describe(error(renewed)));
-    Lease = 0;
+    LeaseId = 0;
   }
 }
 
-asio::awaitable<void> PlanKeeper::takeLease() {
+asio::awaitable<void> PlanLeader::acquireLease() {
   const auto held = co_await Platform.read(platform::PlanLeaseKey);
   if (!ok(held) || value(held).Revision != 0)
     co_return;
-  const auto lease = co_await Platform.grantLease(LeaseTime);
+  const auto lease = co_await Platform.grantLease(LeaseTtl);
   if (!ok(lease))
     co_return;
   const auto swap =
       co_await Platform.swap(platform::PlanLeaseKey, 0, Name, value(lease));
   if (!ok(swap) || !value(swap).Swapped)
     co_return;
-  Lease = value(lease);
+  LeaseId = value(lease);
   PlanLog.info("lease taken");
 }
 
-asio::awaitable<void> PlanKeeper::planOnce() {
-  const std::optional<PlanInput> input = Input();
+asio::awaitable<void> PlanLeader::planOnce() {
+  const std::optional<PlanInput> input = ProvideInput();
   if (!input)
     co_return;
   const auto held = co_await Platform.read(platform::PlanKey);
@@ -89,7 +91,7 @@
     current = std::move(value(parsed));
   }
   plan::Plan next = plan::makePlan(*input->Bundle, input->Servers, current,
-                                   input->IsSettled ? 1 : 0);
+                                   input->IsConverged ? 1 : 0);
   if (next.Version == current.Version)
     co_return;
   next.Author = Name;
--- a/src/entry/plan-keeper.h
+++ b/src/entry/plan-leader.h
@@ -19,30 +19,32 @@
   std::shared_ptr<const bundle::Bundle> Bundle;
   std::vector<plan::PlannedServer> Servers;
   /// Every server that reports holds what the plan says: the next may move.
-  bool IsSettled = true;
+  bool IsConverged = true;
 };
 
 /// True when a report lists everything that an assignment names.
-bool reportsAll(const wire::Report &report, const plan::Assignment &assigned);
+bool reportsAllModels(const wire::Report &report,
+                      const plan::Assignment &assigned);
 
-class PlanKeeper {
+class PlanLeader {
 public:
-  using Source = std::function<std::optional<PlanInput>()>;
+  using InputProvider = std::function<std::optional<PlanInput>()>;
 
-  PlanKeeper(const platform::Client &platform, std::string name, Source source);
+  PlanLeader(const platform::Client &platform, std::string name,
+             InputProvider provideInput);
 
   /// Runs for ever: takes the lease when it is free, and plans while it holds.
   platform::asio::awaitable<void> run();
 
 private:
-  platform::asio::awaitable<void> takeLease();
+  platform::asio::awaitable<void> acquireLease();
   platform::asio::awaitable<void> planOnce();
 
   const platform::Client &Platform;
   std::string Name;
-  Source Input;
+  InputProvider ProvideInput;
   /// Empty while another entry holds the lease.
-  std::uint64_t Lease = 0;
+  std::uint64_t LeaseId = 0;
 };
 
 } // namespace drumlanding::entry
--- a/src/entry/router.cc
+++ b/src/entry/router.cc
@@ -38,8 +38,9 @@
 
 double Router::loadOf(const ServerView &view, const RouteQuery &query) const {
   if (view.CapacityTokens == 0)
-    return view.Waiting + view.SentSince;
-  const double pending = query.RequestTokens * (view.Waiting + view.SentSince);
+    return view.Waiting + view.SentSinceReport;
+  const double pending =
+      query.RequestTokens * (view.Waiting + view.SentSinceReport);
   return (static_cast<double>(view.UsedTokens) + pending) /
          static_cast<double>(view.CapacityTokens);
 }
@@ -76,9 +77,9 @@
                                           base::Random &random) const {
   if (views.empty())
     return std::nullopt;
-  if (Options.Rule == RouteRule::Random)
+  if (Options.Policy == RoutingPolicy::Random)
     return firstUsableFrom(views, random.below(views.size()));
-  if (Options.Rule == RouteRule::LeastLoaded) {
+  if (Options.Policy == RoutingPolicy::LeastLoaded) {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < views.size(); ++i) {
       const double load = static_cast<double>(views[i].UsedTokens);
--- a/src/entry/shell.cc
+++ b/src/entry/shell.cc
@@ -18,23 +18,23 @@
 using base::Verdict;
 using daemon::sleepFor;
 
-constexpr int ControlContexts = 64;
-constexpr milliseconds TickEvery{5};
+constexpr int MaxControlCalls = 64;
+constexpr milliseconds TickInterval{5};
 /// With nothing open, only heartbeats are due.
-constexpr milliseconds IdleTickEvery{20};
-constexpr milliseconds ListEvery{1'000};
-constexpr milliseconds WatchWait{5'000};
-constexpr milliseconds RetryPlatform{500};
+constexpr milliseconds IdleTickInterval{20};
+constexpr milliseconds ListInterval{1'000};
+constexpr milliseconds WatchTimeout{5'000};
+constexpr milliseconds PlatformRetryDelay{500};
 /// Entries of a place that watch the key-value service themselves.
 constexpr std::size_t WatchersPerPlace = 2;
 /// Ticks between two refreshes of the metrics.
-constexpr int TicksPerMetrics = 100;
+constexpr int TicksPerMetricsUpdate = 100;
 /// An entry that leaves goes on this long after its last session.
-constexpr int TicksAfterLast = 100;
-constexpr std::size_t LargestBody = 4 << 20;
+constexpr int TicksBeforeStop = 100;
+constexpr std::size_t MaxBodySize = 4 << 20;
 
 /// Returns whether a session's last word is among the commands.
-bool isLast(const Command &command) {
+bool isFinal(const Command &command) {
   return std::holds_alternative<EndStream>(command) ||
          std::holds_alternative<RefuseSession>(command) ||
          std::holds_alternative<AnswerSession>(command);
@@ -81,8 +81,8 @@
   options.Trusted = s.Settings.Daemon.Trusted;
   options.SubsetSize = s.Settings.SubsetSize;
   options.Seed = base::secureRandom64();
-  options.Note = [](std::string_view part, std::string_view sentence) {
-    base::Log(std::string(part)).info("{}", sentence);
+  options.LogEvent = [](std::string_view component, std::string_view message) {
+    base::Log(std::string(component)).info("{}", message);
   };
   options.Count = [&s](std::string_view metric, std::string_view label,
                        std::string_view value, double by) {
@@ -96,7 +96,7 @@
   };
   s.TheCore = std::make_unique<Core>(std::move(options));
   auto control = wire::Server::listen(
-      s.Settings.Daemon.ControlListen, s.Settings.Daemon.Key, ControlContexts,
+      s.Settings.Daemon.ControlListen, s.Settings.Daemon.Key, MaxControlCalls,
       [&s](wire::Request request, wire::Responder respond) {
         asio::post(s.Runtime.io(), [&s, request = std::move(request),
                                     respond = std::move(respond)]() mutable {
@@ -106,14 +106,14 @@
             id = s.NextReply++;
             s.Responders.emplace(id, std::move(respond));
           }
-          s.dispatch(PeerAsked{id, std::move(request)});
+          s.dispatch(PeerRequestArrived{id, std::move(request)});
         });
       });
   if (!ok(control))
     return error(control);
   s.Control = std::move(value(control));
   http::ServerOptions http;
-  http.Limits.MaxBodyBytes = LargestBody;
+  http.Limits.MaxBodyBytes = MaxBodySize;
   http.TooLarge = refusalResponse({Verdict::NotRun, Reason::BodyTooLarge, {}});
   http.Malformed =
       refusalResponse({Verdict::NotRun, Reason::MalformedRequest, {}});
@@ -127,9 +127,9 @@
   s.Callers = std::move(value(callers));
   runtime.spawn(s.tickLoop());
   runtime.spawn(s.listLoop());
-  s.Keeper = std::make_unique<PlanKeeper>(s.Platform, s.Settings.Daemon.Name,
+  s.Leader = std::make_unique<PlanLeader>(s.Platform, s.Settings.Daemon.Name,
                                           [&s] { return s.planInput(); });
-  runtime.spawn(s.Keeper->run());
+  runtime.spawn(s.Leader->run());
   for (wire::DocumentKind kind : {wire::BUNDLE, wire::PLAN})
     runtime.spawn(s.watchLoop(kind));
   return shell;
@@ -146,7 +146,8 @@
     std::visit([&](auto &c) { execute(c); }, command);
 }
 
-wire::Client *Shell::linkTo(const std::string &peer, const base::Endpoint &to) {
+wire::Client *Shell::connectTo(const std::string &peer,
+                               const base::Endpoint &to) {
   Link &link = Links[peer];
   if (link.Client && link.To == to)
     return link.Client.get();
@@ -154,10 +155,10 @@
   // since that waits for calls that may need CoreLock.
   std::shared_ptr<wire::Client> old = std::move(link.Client);
   asio::post(Runtime.io(), [old] {});
-  auto made = wire::Client::dial(to, Settings.Daemon.Key, LinkBytes);
-  if (!ok(made))
+  auto dialled = wire::Client::dial(to, Settings.Daemon.Key, LinkBytes);
+  if (!ok(dialled))
     return nullptr;
-  link = {to, std::move(value(made))};
+  link = {to, std::move(value(dialled))};
   return link.Client.get();
 }
 
@@ -168,19 +169,19 @@
       dispatch(ReplyArrived{id, std::move(reply)});
     });
   };
-  if (wire::Client *link = linkTo(c.Peer, c.To))
+  if (wire::Client *link = connectTo(c.Peer, c.To))
     link->call(c.Request, c.Timeout, deliver);
   else
     deliver(base::Error{base::ErrorCode::Unavailable, c.Peer, "no link"});
 }
 
 void Shell::execute(ReplyToPeer &c) {
-  const auto node = Responders.extract(c.Reply);
+  const auto node = Responders.extract(c.ReplyId);
   if (!node.empty())
     node.mapped()(c.Message);
 }
 
-void Shell::execute(ForgetPeer &c) {
+void Shell::execute(DisconnectPeer &c) {
   const auto node = Links.extract(c.Peer);
   if (node.empty())
     return;
@@ -194,7 +195,7 @@
     return;
   const std::shared_ptr<Mailbox> mailbox = it->second;
   Command command(std::move(c));
-  if (isLast(command))
+  if (isFinal(command))
     Mailboxes.erase(it);
   mailbox->post(std::move(command));
 }
@@ -232,34 +233,34 @@
     asio::post(Runtime.io(), [this, id] { dispatch(SessionClosed{id}); });
   });
   bool wantsEvents = true;
-  if (auto *generation = std::get_if<GenerationRequest>(&request)) {
-    generation->Asked.Session = id;
+  if (auto *generation = std::get_if<ParsedGeneration>(&request)) {
+    generation->Request.Session = id;
     wantsEvents = generation->Stream;
-    dispatch(std::move(generation->Asked));
-  } else if (auto *resume = std::get_if<ResumeAsked>(&request)) {
+    dispatch(std::move(generation->Request));
+  } else if (auto *resume = std::get_if<ResumeRequested>(&request)) {
     resume->Session = id;
     dispatch(std::move(*resume));
-  } else if (auto *cancel = std::get_if<CancelAsked>(&request)) {
+  } else if (auto *cancel = std::get_if<CancelRequested>(&request)) {
     cancel->Session = id;
     dispatch(std::move(*cancel));
   } else {
-    CallAsked &call = std::get<CallAsked>(request);
+    CallRequested &call = std::get<CallRequested>(request);
     call.Session = id;
     dispatch(std::move(call));
   }
   if (wantsEvents)
-    co_await answerEvents(*mailbox, x);
+    co_await streamAnswer(*mailbox, x);
   else
-    co_await answerWhole(*mailbox, x);
+    co_await sendCompleteAnswer(*mailbox, x);
   dispatch(SessionClosed{id});
   const std::lock_guard guard(CoreLock);
   Mailboxes.erase(id);
 }
 
-asio::awaitable<void> Shell::answerEvents(Mailbox &mailbox, http::Exchange &x) {
+asio::awaitable<void> Shell::streamAnswer(Mailbox &mailbox, http::Exchange &x) {
   for (;;) {
     std::vector<http::ServerEvent> events;
-    bool isOver = false;
+    bool isFinished = false;
     for (Command &command : co_await mailbox.take()) {
       if (auto *refused = std::get_if<RefuseSession>(&command)) {
         co_await x.send(refusalResponse(refused->Why));
@@ -279,7 +280,7 @@
         for (http::ServerEvent &event : toEvents(*tokens))
           events.push_back(std::move(event));
       if (auto *end = std::get_if<EndStream>(&command)) {
-        isOver = true;
+        isFinished = true;
         if (end->Failure)
           events.push_back({"", "error", refusalJson(*end->Failure)});
         else
@@ -288,14 +289,15 @@
     }
     if (!events.empty() && !co_await x.events(std::move(events)))
       co_return;
-    if (!isOver)
+    if (!isFinished)
       continue;
     co_await x.endEvents();
     co_return;
   }
 }
 
-asio::awaitable<void> Shell::answerWhole(Mailbox &mailbox, http::Exchange &x) {
+asio::awaitable<void> Shell::sendCompleteAnswer(Mailbox &mailbox,
+                                                http::Exchange &x) {
   std::string id;
   std::string text;
   std::size_t tokens = 0;
@@ -334,20 +336,20 @@
 
 asio::awaitable<void> Shell::tickLoop() {
   int ticks = 0;
-  int idle = 0;
+  int idleTicks = 0;
   bool hasSessions = false;
   for (;;) {
     const bool isBusy = hasSessions || IsLeaving;
-    co_await sleepFor(isBusy ? TickEvery : IdleTickEvery);
+    co_await sleepFor(isBusy ? TickInterval : IdleTickInterval);
     dispatch(Tick{});
-    if (++ticks % TicksPerMetrics == 0)
+    if (++ticks % TicksPerMetricsUpdate == 0)
       updateMetrics();
     {
       const std::lock_guard guard(CoreLock);
       hasSessions = TheCore->hasSessions();
     }
-    idle = IsLeaving && !hasSessions ? idle + 1 : 0;
-    if (idle < TicksAfterLast)
+    idleTicks = IsLeaving && !hasSessions ? idleTicks + 1 : 0;
+    if (idleTicks < TicksBeforeStop)
       continue;
     base::Log("entry.drain").info("no session is left: stopping");
     Runtime.finish();
@@ -368,19 +370,20 @@
       // The last list goes on; direct reports tell who lives.
       base::Log("entry.members").debug("list: {}", describe(error(vms)));
     }
-    co_await sleepFor(ListEvery);
+    co_await sleepFor(ListInterval);
   }
 }
 
 bool Shell::isWatcher() {
   const std::lock_guard guard(CoreLock);
   const std::uint64_t own = base::hash64(Settings.Daemon.Name);
-  const auto isAhead = [&](const ListedVm &vm) {
+  const auto ranksHigher = [&](const ListedVm &vm) {
     return vm.Role == "entry" && vm.Place == Settings.Daemon.Place &&
            base::hash64(vm.Name) > own;
   };
-  const auto ahead = std::count_if(Listed.begin(), Listed.end(), isAhead);
-  return static_cast<std::size_t>(ahead) < WatchersPerPlace;
+  const auto higherRanked =
+      std::count_if(Listed.begin(), Listed.end(), ranksHigher);
+  return static_cast<std::size_t>(higherRanked) < WatchersPerPlace;
 }
 
 std::optional<PlanInput> Shell::planInput() {
@@ -398,8 +401,8 @@
         plan ? plan->assignment(vm.Name) : nullptr;
     const Member *member = TheCore->members().find(vm.Name);
     if (assigned && member && member->isUsable(Time.now().Steady))
-      input.IsSettled =
-          input.IsSettled && reportsAll(member->Report, *assigned);
+      input.IsConverged =
+          input.IsConverged && reportsAllModels(member->Report, *assigned);
   }
   // A list that names no agent is a list that is not there yet.
   if (input.Servers.empty())
@@ -413,13 +416,13 @@
   std::uint64_t revision = 0;
   for (;;) {
     if (!isWatcher()) {
-      co_await sleepFor(ListEvery);
+      co_await sleepFor(ListInterval);
       continue;
     }
-    const auto entry = co_await Platform.watch(key, revision, WatchWait);
+    const auto entry = co_await Platform.watch(key, revision, WatchTimeout);
     if (!ok(entry)) {
       base::Log("entry.document").debug("watch: {}", describe(error(entry)));
-      co_await sleepFor(RetryPlatform);
+      co_await sleepFor(PlatformRetryDelay);
       continue;
     }
     if (value(entry).Revision == revision)
--- a/src/entry/shell.h
+++ b/src/entry/shell.h
@@ -13,7 +13,7 @@
 #include "drumlanding/entry/core.h"
 #include "drumlanding/entry/members.h"
 #include "mailbox.h"
-#include "plan-keeper.h"
+#include "plan-leader.h"
 #include "platform/client.h"
 
 #include <atomic>
@@ -47,14 +47,14 @@
   void dispatch(Event event);
   void execute(SendMessage &c);
   void execute(ReplyToPeer &c);
-  void execute(ForgetPeer &c);
+  void execute(DisconnectPeer &c);
   template <typename C> void execute(C &c);
-  wire::Client *linkTo(const std::string &peer, const base::Endpoint &to);
+  wire::Client *connectTo(const std::string &peer, const base::Endpoint &to);
 
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
   asio::awaitable<void> serveCaller(CallerRequest request, http::Exchange &x);
-  asio::awaitable<void> answerEvents(Mailbox &mailbox, http::Exchange &x);
-  asio::awaitable<void> answerWhole(Mailbox &mailbox, http::Exchange &x);
+  asio::awaitable<void> streamAnswer(Mailbox &mailbox, http::Exchange &x);
+  asio::awaitable<void> sendCompleteAnswer(Mailbox &mailbox, http::Exchange &x);
 
   asio::awaitable<void> tickLoop();
   asio::awaitable<void> listLoop();
@@ -68,7 +68,7 @@
   base::SystemClock Time;
   base::Metrics Metrics;
   platform::Client Platform;
-  std::unique_ptr<PlanKeeper> Keeper;
+  std::unique_ptr<PlanLeader> Leader;
   std::unique_ptr<Core> TheCore;
   std::mutex CoreLock;
   std::unordered_map<std::uint64_t, wire::Responder> Responders;
--- a/src/plan/document-store.cc
+++ b/src/plan/document-store.cc
@@ -2,7 +2,7 @@
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/base/invariant.h"
-#include "drumlanding/bundle/difference.h"
+#include "drumlanding/bundle/bundle-delta.h"
 
 #include <algorithm>
 
@@ -11,9 +11,9 @@
 
 /// Versions kept to make differences from: at 0.13 changes a second a peer
 /// that missed a minute's worth still gets a difference.
-constexpr std::size_t KnownPast = 8;
+constexpr std::size_t MaxHistory = 8;
 
-void explain(std::string *why, const base::Error &e) {
+void setReason(std::string *why, const base::Error &e) {
   if (why)
     *why = base::describe(e);
 }
@@ -27,35 +27,35 @@
   return kind == wire::BUNDLE ? BundleBody : PlanBody;
 }
 
-Offer DocumentStore::offer(base::WallTime now, wire::DocumentKind kind,
-                           std::string_view body, std::string *why) {
+OfferResult DocumentStore::offer(base::WallTime now, wire::DocumentKind kind,
+                                 std::string_view body, std::string *why) {
   if (body == this->body(kind) && !body.empty())
-    return Offer::Known;
+    return OfferResult::Known;
   if (kind == wire::PLAN) {
     auto plan = parsePlan(body);
     if (!ok(plan)) {
-      explain(why, error(plan));
-      return Offer::Invalid;
+      setReason(why, error(plan));
+      return OfferResult::Invalid;
     }
     const std::uint64_t version = value(plan).Version;
-    const Offer result = take(now, kind, version, body);
-    if (result == Offer::Taken)
+    const OfferResult result = apply(now, kind, version, body);
+    if (result == OfferResult::Taken)
       CurrentPlan = std::make_shared<Plan>(std::move(value(plan)));
     return result;
   }
   auto parsed = bundle::parseSignedBundle(body);
   if (!ok(parsed)) {
-    explain(why, error(parsed));
-    return Offer::Invalid;
+    setReason(why, error(parsed));
+    return OfferResult::Invalid;
   }
   auto verified = bundle::verify(value(parsed), Trusted);
   if (!ok(verified)) {
-    explain(why, error(verified));
-    return Offer::Invalid;
+    setReason(why, error(verified));
+    return OfferResult::Invalid;
   }
   const std::uint64_t version = value(verified).Version;
-  const Offer result = take(now, kind, version, body);
-  if (result == Offer::Taken)
+  const OfferResult result = apply(now, kind, version, body);
+  if (result == OfferResult::Taken)
     CurrentBundle =
         std::make_shared<bundle::Bundle>(std::move(value(verified)));
   return result;
@@ -65,43 +65,45 @@
                                    std::uint64_t base) const {
   wire::Document document;
   document.set_kind(kind);
-  const std::string &whole = body(kind);
+  const std::string &full = body(kind);
   const auto past =
-      std::find_if(Past.begin(), Past.end(),
+      std::find_if(History.begin(), History.end(),
                    [&](const PastBundle &p) { return p.Version == base; });
-  if (kind == wire::BUNDLE && base != 0 && past != Past.end()) {
-    std::string difference = bundle::makeDifference(past->Text, whole);
-    if (!difference.empty() && difference.size() < whole.size() / 2) {
+  if (kind == wire::BUNDLE && base != 0 && past != History.end()) {
+    std::string difference = bundle::makeBundleDelta(past->Text, full);
+    if (!difference.empty() && difference.size() < full.size() / 2) {
       document.set_body(std::move(difference));
       document.set_base_version(base);
       return document;
     }
   }
-  document.set_body(whole);
+  document.set_body(full);
   return document;
 }
 
-Offer DocumentStore::unpack(base::WallTime now, const wire::Document &document,
-                            std::string *why) {
+OfferResult DocumentStore::offerPacked(base::WallTime now,
+                                       const wire::Document &document,
+                                       std::string *why) {
   if (document.base_version() == 0)
     return offer(now, document.kind(), document.body(), why);
   if (document.base_version() != Versions.bundle())
-    return document.base_version() < Versions.bundle() ? Offer::Older
-                                                       : Offer::Invalid;
-  const auto whole = bundle::applyDifference(Past.back().Text, document.body());
-  if (!ok(whole)) {
-    explain(why, error(whole));
-    return Offer::Invalid;
+    return document.base_version() < Versions.bundle() ? OfferResult::Older
+                                                       : OfferResult::Invalid;
+  const auto full =
+      bundle::applyBundleDelta(History.back().Text, document.body());
+  if (!ok(full)) {
+    setReason(why, error(full));
+    return OfferResult::Invalid;
   }
-  return offer(now, wire::BUNDLE, value(whole), why);
+  return offer(now, wire::BUNDLE, value(full), why);
 }
 
-Offer DocumentStore::take(base::WallTime now, wire::DocumentKind kind,
-                          std::uint64_t version, std::string_view body) {
+OfferResult DocumentStore::apply(base::WallTime now, wire::DocumentKind kind,
+                                 std::uint64_t version, std::string_view body) {
   const bool isBundle = kind == wire::BUNDLE;
   const std::uint64_t current = isBundle ? Versions.bundle() : Versions.plan();
   if (version <= current)
-    return version == current ? Offer::Known : Offer::Older;
+    return version == current ? OfferResult::Known : OfferResult::Older;
   base::invariant(base::Invariant::VersionNeverFalls, version > current,
                   toString(kind));
   const std::uint64_t digest = base::hash64(body);
@@ -110,30 +112,30 @@
     Versions.set_bundle_digest(digest);
     Versions.set_bundle_since_ms(now.time_since_epoch().count());
     BundleBody = body;
-    Past.push_back({version, BundleBody});
-    if (Past.size() > KnownPast)
-      Past.pop_front();
+    History.push_back({version, BundleBody});
+    if (History.size() > MaxHistory)
+      History.pop_front();
   } else {
     Versions.set_plan(version);
     Versions.set_plan_digest(digest);
     PlanBody = body;
   }
-  return Offer::Taken;
+  return OfferResult::Taken;
 }
 
 std::string_view toString(wire::DocumentKind kind) {
   return kind == wire::BUNDLE ? "bundle" : "plan";
 }
 
-std::string_view toString(Offer offer) {
+std::string_view toString(OfferResult offer) {
   switch (offer) {
-  case Offer::Taken:
+  case OfferResult::Taken:
     return "taken";
-  case Offer::Known:
+  case OfferResult::Known:
     return "known";
-  case Offer::Older:
+  case OfferResult::Older:
     return "older";
-  case Offer::Invalid:
+  case OfferResult::Invalid:
     return "invalid";
   }
   return "invalid";
--- a/src/plan/plan.cc
+++ b/src/plan/plan.cc
@@ -12,8 +12,8 @@
 /// What a server of this service should hold: the newest version of each of
 /// the service's models. While a roll-out is under way other servers still
 /// hold the version before.
-std::vector<LoadedModel> wanted(const bundle::Bundle &bundle,
-                                const bundle::Service &service) {
+std::vector<LoadedModel> targetModels(const bundle::Bundle &bundle,
+                                      const bundle::Service &service) {
   std::vector<LoadedModel> models;
   for (const std::string &name : service.Models)
     if (const bundle::Model *model = bundle.model(name))
@@ -47,23 +47,23 @@
 
 Plan makePlan(const bundle::Bundle &bundle,
               std::span<const PlannedServer> servers, const Plan &current,
-              std::size_t mostMoves) {
+              std::size_t maxChanges) {
   Plan next = current;
   next.Assignments.clear();
-  std::size_t moves = 0;
+  std::size_t changes = 0;
   for (const PlannedServer &server : servers) {
     const bundle::Service *service = bundle.service(server.Service);
     if (!service || service->Kind != bundle::ServiceKind::Engine)
       continue;
-    const Assignment *held = current.assignment(server.Name);
-    Assignment target{server.Name, wanted(bundle, *service)};
-    const bool mustMove = held && !(*held == target);
+    const Assignment *assigned = current.assignment(server.Name);
+    Assignment target{server.Name, targetModels(bundle, *service)};
+    const bool needsChange = assigned && !(*assigned == target);
     // A leaving server keeps what it has: loading would be work in vain.
-    const bool mayMove = moves < mostMoves && !server.Leaving;
-    if (mustMove && !mayMove)
-      target = *held;
-    if (mustMove && mayMove)
-      ++moves;
+    const bool mayChange = changes < maxChanges && !server.Leaving;
+    if (needsChange && !mayChange)
+      target = *assigned;
+    if (needsChange && mayChange)
+      ++changes;
     next.Assignments.push_back(std::move(target));
   }
   sortByServer(next.Assignments);
--- a/test/bundle-test.cc
+++ b/test/bundle-test.cc
@@ -12,12 +12,12 @@
 
 using Json = nlohmann::json;
 
-std::string whereOfError(const Json &json) {
+std::string errorLocation(const Json &json) {
   const auto r = parseBundle(json.dump());
   return ok(r) ? "" : error(r).Where;
 }
 
-TEST(Bundle, ExampleIsRead) {
+TEST(Bundle, ParsesExample) {
   const auto r = parseBundle(test::exampleJson(3).dump());
   ASSERT_TRUE(ok(r)) << describe(error(r));
   EXPECT_EQ(value(r).Version, 3U);
@@ -25,29 +25,29 @@
   EXPECT_DOUBLE_EQ(value(r).oneWayMs("hall-b", "hall-a"), 1.5);
 }
 
-TEST(Bundle, ErrorsNameTheirPath) {
+TEST(Bundle, ErrorsNameTheInvalidPath) {
   Json json = test::exampleJson(1);
   json["organisations"][1]["contract"]["share"] = -1;
-  EXPECT_EQ(whereOfError(json), "organisations[1].contract.share");
+  EXPECT_EQ(errorLocation(json), "organisations[1].contract.share");
   json = test::exampleJson(1);
   json["organisations"][0]["contract"]["models"] = {"no-such"};
-  EXPECT_EQ(whereOfError(json), "organisations[0].contract.models[0]");
+  EXPECT_EQ(errorLocation(json), "organisations[0].contract.models[0]");
   json = test::exampleJson(1);
   json["limits"].erase("maxBodyBytes");
-  EXPECT_EQ(whereOfError(json), "limits.maxBodyBytes");
+  EXPECT_EQ(errorLocation(json), "limits.maxBodyBytes");
   json = test::exampleJson(1);
   json["plases"] = 1;
-  EXPECT_EQ(whereOfError(json), "plases");
+  EXPECT_EQ(errorLocation(json), "plases");
   json = test::exampleJson(1);
   json["drain"] = {"nobody"};
-  EXPECT_EQ(whereOfError(json), "drain[0]");
+  EXPECT_EQ(errorLocation(json), "drain[0]");
   json = test::exampleJson(1);
   json["services"][1]["servers"] = {"tutor-llm-1"};
-  EXPECT_EQ(whereOfError(json), "services[1].servers");
+  EXPECT_EQ(errorLocation(json), "services[1].servers");
   EXPECT_FALSE(ok(parseBundle("{")));
 }
 
-TEST(Bundle, DiffNamesWhatDiffers) {
+TEST(Bundle, DiffListsEachChange) {
   Json a = test::exampleJson(1);
   Json b = a;
   b["organisations"][0]["contract"]["share"] = 9;
@@ -58,7 +58,7 @@
   EXPECT_EQ(value(lines)[0], "organisations.school-1.contract.share: 1.0 -> 9");
 }
 
-TEST(Signature, NeedsTwoDifferentTrustedKeys) {
+TEST(Signature, RequiresTwoDifferentTrustedKeys) {
   const test::Signers signers;
   SignedBundle b = signers.signedBundle(test::exampleJson(1));
   EXPECT_TRUE(ok(verify(b, signers.trusted())));
@@ -68,13 +68,13 @@
   EXPECT_EQ(error(verify(changed, signers.trusted())).Where,
             "signatures.author");
 
-  SignedBundle lacking = b;
-  lacking.Approver = {};
-  EXPECT_FALSE(ok(verify(lacking, signers.trusted())));
+  SignedBundle unapproved = b;
+  unapproved.Approver = {};
+  EXPECT_FALSE(ok(verify(unapproved, signers.trusted())));
 
-  SignedBundle stranger = b;
-  sign(stranger, Role::Approver, makeKeyPair().Secret);
-  EXPECT_FALSE(ok(verify(stranger, signers.trusted())));
+  SignedBundle untrusted = b;
+  sign(untrusted, Role::Approver, makeKeyPair().Secret);
+  EXPECT_FALSE(ok(verify(untrusted, signers.trusted())));
 
   // One signature cannot serve as the other, and one key not as both.
   SignedBundle swapped = b;
@@ -85,29 +85,30 @@
   EXPECT_FALSE(ok(verify(swapped, both)));
 }
 
-TEST(DocumentStore, VersionNeverFalls) {
+TEST(DocumentStore, VersionNeverDecreases) {
   const test::Signers signers;
   plan::DocumentStore store(signers.trusted());
   const auto offer = [&](std::uint64_t version) {
     return store.offer({}, wire::BUNDLE,
                        signers.serialised(test::exampleJson(version)));
   };
-  EXPECT_EQ(offer(2), plan::Offer::Taken);
-  EXPECT_EQ(offer(1), plan::Offer::Older);
-  EXPECT_EQ(offer(2), plan::Offer::Known);
-  EXPECT_EQ(offer(3), plan::Offer::Taken);
+  EXPECT_EQ(offer(2), plan::OfferResult::Taken);
+  EXPECT_EQ(offer(1), plan::OfferResult::Older);
+  EXPECT_EQ(offer(2), plan::OfferResult::Known);
+  EXPECT_EQ(offer(3), plan::OfferResult::Taken);
   EXPECT_EQ(store.bundle()->Version, 3U);
-  EXPECT_EQ(store.offer({}, wire::BUNDLE, "{}"), plan::Offer::Invalid);
+  EXPECT_EQ(store.offer({}, wire::BUNDLE, "{}"), plan::OfferResult::Invalid);
   EXPECT_EQ(store.versions().bundle(), 3U);
 }
 
-TEST(DocumentStore, AChangeTravelsAsItsDifference) {
+TEST(DocumentStore, SendsChangesAsDelta) {
   const test::Signers signers;
   plan::DocumentStore from(signers.trusted());
   plan::DocumentStore to(signers.trusted());
   Json json = test::exampleJson(1);
   from.offer({}, wire::BUNDLE, signers.serialised(json));
-  EXPECT_EQ(to.unpack({}, from.pack(wire::BUNDLE, 0)), plan::Offer::Taken);
+  EXPECT_EQ(to.offerPacked({}, from.pack(wire::BUNDLE, 0)),
+            plan::OfferResult::Taken);
   json["version"] = 2;
   json["organisations"][1]["contract"]["share"] = 7;
   from.offer({}, wire::BUNDLE, signers.serialised(json));
@@ -120,16 +121,17 @@
   const auto at = changed.body().find("\"value\":7");
   ASSERT_NE(at, std::string::npos);
   (*changed.mutable_body())[at + 8] = '8';
-  EXPECT_EQ(to.unpack({}, changed), plan::Offer::Invalid);
+  EXPECT_EQ(to.offerPacked({}, changed), plan::OfferResult::Invalid);
   EXPECT_EQ(to.versions().bundle(), 1U);
 
-  EXPECT_EQ(to.unpack({}, difference), plan::Offer::Taken);
+  EXPECT_EQ(to.offerPacked({}, difference), plan::OfferResult::Taken);
   EXPECT_EQ(to.bundle()->Organisations[1].Contract.Share, 7);
   // Repeated, and to one that has no base.
-  EXPECT_EQ(to.unpack({}, difference), plan::Offer::Older);
+  EXPECT_EQ(to.offerPacked({}, difference), plan::OfferResult::Older);
   plan::DocumentStore fresh(signers.trusted());
-  EXPECT_EQ(fresh.unpack({}, difference), plan::Offer::Invalid);
-  EXPECT_EQ(fresh.unpack({}, from.pack(wire::BUNDLE, 0)), plan::Offer::Taken);
+  EXPECT_EQ(fresh.offerPacked({}, difference), plan::OfferResult::Invalid);
+  EXPECT_EQ(fresh.offerPacked({}, from.pack(wire::BUNDLE, 0)),
+            plan::OfferResult::Taken);
 }
 
 } // namespace
--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -33,19 +33,19 @@
     World world(seeded);
     scenario(world);
     world.settle();
-    std::string wrong = world.check();
+    std::string violations = world.check();
     if (allInvariantFailures() != before)
-      wrong += "an invariant failed; ";
-    if (!wrong.empty() && example)
-      *example = wrong;
-    broken += wrong.empty() ? 0 : 1;
+      violations += "an invariant failed; ";
+    if (!violations.empty() && example)
+      *example = violations;
+    broken += violations.empty() ? 0 : 1;
   }
   return broken;
 }
 
 /// Expects the scenario to break without the mechanism and to hold with it.
-void expectNeeded(const char *name, const WorldOptions &without,
-                  const std::function<void(World &)> &scenario) {
+void expectMechanismNeeded(const char *name, const WorldOptions &without,
+                           const std::function<void(World &)> &scenario) {
   base::setInvariantsFatal(false);
   std::string example;
   const int broken = countBroken(without, scenario, &example);
@@ -63,7 +63,7 @@
 TEST(Mechanism, RememberRequests) {
   WorldOptions off;
   off.AgentOn.RememberRequests = false;
-  expectNeeded("remember requests", off, [](World &w) {
+  expectMechanismNeeded("remember requests", off, [](World &w) {
     w.askCall(0, true);
     w.run(4s);
   });
@@ -73,7 +73,7 @@
   WorldOptions off;
   off.AgentOn.LeaveTombstones = false;
   // The Start is lost, the entry asks and hears "not run"; a copy comes late.
-  expectNeeded("leave tombstones", off, [](World &w) {
+  expectMechanismNeeded("leave tombstones", off, [](World &w) {
     w.injectAt(Step::CallRequest, Fault::LateArrival);
     w.askCall(0, false);
     w.run(20s);
@@ -85,7 +85,7 @@
   off.AgentOn.CheckIncarnation = false;
   // A copy of a Start reaches the agent's next incarnation while the entry
   // that follows the stream is frozen.
-  expectNeeded("check incarnation", off, [](World &w) {
+  expectMechanismNeeded("check incarnation", off, [](World &w) {
     w.endless(true);
     w.injectAt(Step::StartRequest, Fault::LateCopy);
     w.askGeneration(0);
@@ -101,7 +101,7 @@
   WorldOptions off;
   off.AgentOn.CheckKeyTime = false;
   // The agent forgets in a restart what it ran; the caller sends again.
-  expectNeeded("check key time", off, [](World &w) {
+  expectMechanismNeeded("check key time", off, [](World &w) {
     w.askCall(0, true);
     w.run(50ms);
     w.inject(Fault::RestartAgent, 0, 2);
@@ -115,7 +115,7 @@
   off.AgentOn.CancelOrphans = false;
   off.EngineCapacity = 200'000;
   // Its only follower dies before the caller knows the stream's id.
-  expectNeeded("cancel orphans", off, [](World &w) {
+  expectMechanismNeeded("cancel orphans", off, [](World &w) {
     w.endless(true);
     w.injectAt(Step::EngineStart, Fault::KillEntry);
     w.askGeneration(0);
@@ -127,7 +127,7 @@
   WorldOptions off;
   off.AgentOn.RefuseWhenLeaving = false;
   // An entry that has not heard of it yet still sends work.
-  expectNeeded("refuse when leaving", off, [](World &w) {
+  expectMechanismNeeded("refuse when leaving", off, [](World &w) {
     w.orderLeave(0);
     for (int i = 0; i < 10; ++i)
       w.askGeneration(0);
@@ -135,20 +135,20 @@
   });
 }
 
-TEST(Mechanism, AskAfterLostReplies) {
+TEST(Mechanism, ResolveLostReplies) {
   WorldOptions off;
-  off.EntryOn.AskAfterLostReplies = false;
-  expectNeeded("ask after lost replies", off, [](World &w) {
+  off.EntryOn.ResolveLostReplies = false;
+  expectMechanismNeeded("ask after lost replies", off, [](World &w) {
     w.injectAt(Step::CallReply, Fault::Lose);
     w.askCall(0, false);
     w.run(20s);
   });
 }
 
-TEST(Mechanism, DropRepeatedTokens) {
+TEST(Mechanism, DropDuplicateTokens) {
   WorldOptions off;
-  off.EntryOn.DropRepeatedTokens = false;
-  expectNeeded("drop repeated tokens", off, [](World &w) {
+  off.EntryOn.DropDuplicateTokens = false;
+  expectMechanismNeeded("drop repeated tokens", off, [](World &w) {
     // Each new stream sends a poll, while the replies to earlier ones are
     // on their way with the same tokens.
     for (int i = 0; i < 30; ++i) {
@@ -160,12 +160,12 @@
 }
 
 /// Attempts for each request when the engines refuse three starts in ten.
-double attemptsPerRequest(bool limited) {
+double attemptsPerRequest(bool limitsRetries) {
   WorldOptions options;
   options.RefusePart = 0.3;
   // Room for all, so that no request still waits when the test ends.
   options.EngineCapacity = 200'000;
-  options.EntryOn.LimitRetries = limited;
+  options.EntryOn.LimitRetries = limitsRetries;
   World world(options);
   constexpr int Requests = 1'500;
   const std::size_t before = world.attempts();
@@ -189,11 +189,11 @@
 
 /// Seconds until a bundle is everywhere when the key-value service goes down
 /// right after one entry has read it; 30 when it never is.
-double spreadTime(bool spreads) {
+double propagationSeconds(bool propagates) {
   WorldOptions options;
-  options.EntryOn.SpreadDocuments = spreads;
+  options.EntryOn.PropagateDocuments = propagates;
   World world(options);
-  if (!spreads)
+  if (!propagates)
     return 30;
   world.rollOut(2);
   while (world.bundleOfEntry(0) != 2)
@@ -213,13 +213,13 @@
   return seconds;
 }
 
-TEST(Mechanism, SpreadDocuments) {
-  const double on = spreadTime(true);
+TEST(Mechanism, PropagateDocuments) {
+  const double on = propagationSeconds(true);
   std::printf("spread documents: everywhere after %.2f s\n", on);
   EXPECT_LT(on, 3);
   // Without it only the entry that watches ever gets a bundle.
   WorldOptions off;
-  off.EntryOn.SpreadDocuments = false;
+  off.EntryOn.PropagateDocuments = false;
   World world(off);
   world.run(30s);
   EXPECT_EQ(world.bundleOfEntry(0), 1U);
--- a/test/plan-test.cc
+++ b/test/plan-test.cc
@@ -24,7 +24,7 @@
   return plan.assignment(server)->Models.at(0).Version;
 }
 
-TEST(Plan, NothingToChangeKeepsTheVersion) {
+TEST(Plan, UnchangedPlanKeepsItsVersion) {
   const auto bundle = bundleWith(1, {"1"});
   const Plan first = makePlan(bundle, twoServers(), {});
   EXPECT_EQ(first.Version, 1U);
@@ -32,7 +32,7 @@
   EXPECT_EQ(makePlan(bundle, twoServers(), first).Version, 1U);
 }
 
-TEST(Plan, ANewModelVersionMovesOneServerAtATime) {
+TEST(Plan, RollsOutModelVersionOneServerAtATime) {
   const Plan first = makePlan(bundleWith(1, {"1"}), twoServers(), {});
   const auto newer = bundleWith(2, {"1", "2"});
   const Plan second = makePlan(newer, twoServers(), first);
@@ -45,7 +45,7 @@
   EXPECT_EQ(versionOn(third, "tutor-llm-2"), "2");
 }
 
-TEST(Plan, ALeavingServerKeepsWhatItHolds) {
+TEST(Plan, LeavingServerKeepsItsAssignment) {
   const Plan first = makePlan(bundleWith(1, {"1"}), twoServers(), {});
   auto servers = twoServers();
   servers[0].Leaving = true;
@@ -54,11 +54,11 @@
   EXPECT_EQ(versionOn(second, "tutor-llm-2"), "2");
 }
 
-TEST(Plan, SurvivesItsTextAndRefusesOthers) {
+TEST(Plan, RoundTripsThroughJsonAndRejectsMalformedText) {
   const Plan plan = makePlan(bundleWith(1, {"1"}), twoServers(), {});
-  const auto again = parsePlan(serialise(plan));
-  ASSERT_TRUE(ok(again));
-  EXPECT_EQ(base::value(again).Assignments, plan.Assignments);
+  const auto parsed = parsePlan(serialise(plan));
+  ASSERT_TRUE(ok(parsed));
+  EXPECT_EQ(base::value(parsed).Assignments, plan.Assignments);
   EXPECT_FALSE(ok(parsePlan("{\"version\": \"x\"}")));
   EXPECT_FALSE(ok(parsePlan("[]")));
 }
--- a/test/promise-test.cc
+++ b/test/promise-test.cc
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Leaving, NoNewWorkWithinThreeSecondsAndNothingCutOff) {
+TEST(Leaving, NoNewWorkAfterThreeSecondsAndAllStreamsComplete) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.Seed = seed;
@@ -20,19 +20,19 @@
     world.run(100ms);
     world.leaveAgent(0);
     world.run(3s);
-    const int startsThen = world.startsOn(0);
+    const int startsBefore = world.startsOn(0);
     for (int i = 0; i < 20; ++i) {
       world.askGeneration(static_cast<std::size_t>(i % 2));
       world.run(100ms);
     }
-    EXPECT_EQ(world.startsOn(0), startsThen);
+    EXPECT_EQ(world.startsOn(0), startsBefore);
     world.settle();
     EXPECT_EQ(world.check(), "");
     EXPECT_EQ(world.wholeAnswers(), world.requests());
   }
 }
 
-TEST(Leaving, EveryServerInTurnWhileCallersKeepComing) {
+TEST(Leaving, EachServerInTurnUnderLoad) {
   WorldOptions options;
   options.Engines = 3;
   World world(options);
@@ -56,7 +56,7 @@
   EXPECT_EQ(world.wholeAnswers(), world.requests());
 }
 
-TEST(Leaving, ReclaimGivesTheTrueVerdictAtOnce) {
+TEST(Leaving, ReclaimFailsStreamsPromptlyWithCorrectVerdict) {
   WorldOptions options;
   options.Engines = 1;
   World world(options);
@@ -70,7 +70,7 @@
   EXPECT_EQ(world.check(), "");
 }
 
-TEST(Streams, StalledLinkIsNoDeadServer) {
+TEST(Streams, StreamsSurviveAStalledLink) {
   World world({});
   for (int i = 0; i < 6; ++i)
     world.askGeneration(0);
@@ -83,7 +83,7 @@
   EXPECT_EQ(world.wholeAnswers(), world.requests());
 }
 
-TEST(Streams, KilledEntryIsResumedThroughAnother) {
+TEST(Streams, StreamResumesThroughAnotherEntry) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.Seed = seed;
@@ -97,7 +97,7 @@
   }
 }
 
-TEST(Streams, TheNewestOfTwoConnectionsGetsTheStream) {
+TEST(Streams, NewestConnectionReceivesTheStream) {
   // The reply to the first resume comes after that to the second.
   WorldOptions options;
   options.Entries = 1;
@@ -114,7 +114,7 @@
   EXPECT_EQ(world.wholeAnswers(), 1U);
 }
 
-TEST(Bundle, StalePeerAndRestartsDuringAnOutageNeverGoBack) {
+TEST(Bundle, VersionNeverDecreasesAcrossOutageAndRestarts) {
   World world({});
   world.rollOut(2);
   world.run(4s);
@@ -136,14 +136,14 @@
 }
 
 /// Counts the orders to load in what a core wants done.
-std::size_t orders(const agent::Commands &commands) {
+std::size_t countLoadOrders(const agent::Commands &commands) {
   return static_cast<std::size_t>(std::count_if(
       commands.begin(), commands.end(), [](const agent::Command &c) {
         return std::holds_alternative<agent::LoadOnEngine>(c);
       }));
 }
 
-TEST(Members, AnEmptyListIsNotBelievedAgainstDirectReports) {
+TEST(Members, EmptyListDoesNotRemoveReportingPeers) {
   World world({});
   world.askGeneration(0);
   world.run(100ms);
@@ -157,7 +157,7 @@
   EXPECT_EQ(world.wholeAnswers(), world.requests());
 }
 
-TEST(Orders, AnOlderPlanGivesNone) {
+TEST(Orders, OlderPlanIssuesNone) {
   const Signers keys;
   base::ManualClock clock;
   agent::CoreOptions options;
@@ -169,9 +169,11 @@
     wire::Request request;
     request.mutable_push()->mutable_document()->set_kind(kind);
     request.mutable_push()->mutable_document()->set_body(body);
-    return orders(core.handle(clock.now(), agent::RequestArrived{1, request}));
+    return countLoadOrders(
+        core.handle(clock.now(), agent::RequestArrived{1, request}));
   };
-  const auto planOf = [](std::uint64_t version, const std::string &model) {
+  const auto serialisedPlan = [](std::uint64_t version,
+                                 const std::string &model) {
     plan::Plan p;
     p.Version = version;
     p.Assignments = {{"tutor-llm-1", {{"tutor-llm", model, {}}}}};
@@ -179,14 +181,14 @@
   };
   core.handle(clock.now(), agent::ServerObserved{true, 60'000, {}});
   push(wire::BUNDLE, keys.serialised(exampleJson(1)));
-  EXPECT_EQ(push(wire::PLAN, planOf(2, "2")), 1U);
+  EXPECT_EQ(push(wire::PLAN, serialisedPlan(2, "2")), 1U);
   // A holder that was paused past its lapse would write this one.
-  EXPECT_EQ(push(wire::PLAN, planOf(1, "1")), 0U);
-  EXPECT_EQ(push(wire::PLAN, planOf(2, "1")), 0U);
+  EXPECT_EQ(push(wire::PLAN, serialisedPlan(1, "1")), 0U);
+  EXPECT_EQ(push(wire::PLAN, serialisedPlan(2, "1")), 0U);
   EXPECT_EQ(core.documents().plan()->Version, 2U);
 }
 
-TEST(Limits, OneOrganisationCannotTakeAnothersPlace) {
+TEST(Limits, OrganisationsAreLimitedIndependently) {
   bundle::Organisation large{"large", "", {}};
   large.Contract.MaxOpen = 3;
   large.Contract.RequestsPerSecond = 1'000;
@@ -202,7 +204,7 @@
   EXPECT_TRUE(limits.tryOpen(now, large));
 }
 
-TEST(Limits, RateComesBackWithTime) {
+TEST(Limits, RateRefillsOverTime) {
   bundle::Organisation o{"o", "", {}};
   o.Contract.MaxOpen = 1'000;
   o.Contract.RequestsPerSecond = 10;
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -154,7 +154,7 @@
   for (int i = 0; i < 400; ++i) {
     const auto at = router.choose(views, {0, 600}, now, random);
     ++got[*at];
-    ++views[*at].SentSince;
+    ++views[*at].SentSinceReport;
   }
   // 40,000 tokens of room are 65 requests; then it is like the others.
   EXPECT_LT(got[3], 130);
--- a/test/world.cc
+++ b/test/world.cc
@@ -535,7 +535,7 @@
   const std::uint64_t reply = (static_cast<std::uint64_t>(from) << 48) | id;
   const std::uint64_t life = EntryNodes[to]->Life;
   at(linkDelay(), [this, to, life, reply, request] {
-    toEntry(to, life, entry::PeerAsked{reply, request});
+    toEntry(to, life, entry::PeerRequestArrived{reply, request});
   });
 }
 
@@ -755,20 +755,21 @@
   }
   if (caller.IsCancel) {
     toEntry(e, life,
-            entry::CancelAsked{caller.Session, caller.Credential,
-                               caller.RequestId});
+            entry::CancelRequested{caller.Session, caller.Credential,
+                                   caller.RequestId});
     return;
   }
   if (caller.IsCall) {
     toEntry(e, life,
-            entry::CallAsked{caller.Session, caller.Credential, "lernapp",
-                             "POST", "/progress", caller.Marker, false,
-                             caller.Key, caller.KeyTime});
+            entry::CallRequested{caller.Session, caller.Credential, "lernapp",
+                                 "POST", "/progress", caller.Marker, false,
+                                 caller.Key, caller.KeyTime});
     return;
   }
   toEntry(e, life,
-          entry::GenerationAsked{caller.Session, caller.Credential, "tutor-llm",
-                                 "", "", caller.Marker, 4'000, true});
+          entry::GenerationRequested{caller.Session, caller.Credential,
+                                     "tutor-llm", "", "", caller.Marker, 4'000,
+                                     true});
 }
 
 void World::resume(Caller &caller) {
@@ -791,8 +792,8 @@
   caller.Session = NextSession++;
   CallerOfSession[caller.Session] = &caller;
   toEntry(e, EntryNodes[e]->Life,
-          entry::ResumeAsked{caller.Session, caller.Credential,
-                             caller.RequestId, caller.Next});
+          entry::ResumeRequested{caller.Session, caller.Credential,
+                                 caller.RequestId, caller.Next});
 }
 
 void World::onCallersCommand(std::size_t e, entry::Command &command) {
@@ -803,8 +804,8 @@
     return it->second;
   };
   if (auto *c = std::get_if<entry::ReplyToPeer>(&command)) {
-    const auto to = static_cast<std::size_t>(c->Reply >> 48);
-    const entry::MessageId id = c->Reply & 0xffff'ffff'ffffULL;
+    const auto to = static_cast<std::size_t>(c->ReplyId >> 48);
+    const entry::MessageId id = c->ReplyId & 0xffff'ffff'ffffULL;
     at(linkDelay(),
        [this, to, id, life = EntryNodes[to]->Life, message = c->Message] {
          toEntry(to, life, entry::ReplyArrived{id, message});
--- a/tools/capacity-bench.cc
+++ b/tools/capacity-bench.cc
@@ -320,9 +320,9 @@
     for (int i = 0; i < n; ++i) {
       const double start = cpuMicros();
       auto commands = core->handle(
-          Time.now(),
-          entry::GenerationAsked{static_cast<std::uint64_t>(i + 1), "0", "m",
-                                 "", "", std::string(400, 'x'), 1'000, true});
+          Time.now(), entry::GenerationRequested{
+                          static_cast<std::uint64_t>(i + 1), "0", "m", "", "",
+                          std::string(400, 'x'), 1'000, true});
       spent += cpuMicros() - start;
       for (const entry::Command &c : commands)
         if (const auto *send = std::get_if<entry::SendMessage>(&c)) {
--- a/tools/policy-run.cc
+++ b/tools/policy-run.cc
@@ -136,9 +136,9 @@
   entry::RouterOptions routerOptions() const {
     entry::RouterOptions r;
     if (Options.Policy == PolicyKind::RandomRoute)
-      r.Rule = entry::RouteRule::Random;
+      r.Policy = entry::RoutingPolicy::Random;
     if (Options.Policy == PolicyKind::LeastLoaded)
-      r.Rule = entry::RouteRule::LeastLoaded;
+      r.Policy = entry::RoutingPolicy::LeastLoaded;
     return r;
   }
 
@@ -285,7 +285,7 @@
     }
     r.Engine = *chosen;
     Worker &w = Workers[*chosen];
-    ++w.View.SentSince;
+    ++w.View.SentSinceReport;
     agent::JobSpec spec;
     spec.Organisation = "o" + std::to_string(r.Organisation);
     spec.Class = agent::lengthClass(spec.Organisation, "model");
@@ -413,9 +413,9 @@
       while (!w.Reports.empty() && w.Reports.front().VisibleAt <= Now) {
         // What was sent since the report was made is not in it.
         const std::uint32_t recent =
-            Options.ReportLag.count() == 0 ? 0 : w.View.SentSince / 2;
+            Options.ReportLag.count() == 0 ? 0 : w.View.SentSinceReport / 2;
         w.View = w.Reports.front().View;
-        w.View.SentSince = recent;
+        w.View.SentSinceReport = recent;
         w.Reports.pop_front();
       }
       w.View.IsUsable = !w.IsReclaimed;
