--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -4,7 +4,7 @@
 
 #include "drumlanding/base/hash.h"
 #include "drumlanding/base/settings.h"
-#include "drumlanding/bundle/difference.h"
+#include "drumlanding/bundle/bundle-delta.h"
 
 #include <cstdio>
 #include <fstream>
@@ -146,7 +146,7 @@
   // The author writes the form that travels as differences; who signs it off
   // signs the same bytes.
   if (role == "author")
-    signedBundle.Document = bundle::canonical(signedBundle.Document);
+    signedBundle.Document = bundle::canonicalJson(signedBundle.Document);
   const auto as =
       role == "author" ? bundle::Role::Author : bundle::Role::Approver;
   bundle::sign(signedBundle, as, value(secret));
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -552,7 +552,7 @@
   const std::uint64_t reply = (static_cast<std::uint64_t>(from) << 48) | id;
   const std::uint64_t instance = EntryNodes[to]->Instance;
   scheduleAfter(linkDelay(), [this, to, instance, reply, request] {
-    deliverToEntry(to, instance, entry::PeerAsked{reply, request});
+    deliverToEntry(to, instance, entry::PeerRequestArrived{reply, request});
   });
 }
 
@@ -779,22 +779,23 @@
   }
   if (caller.IsCancel) {
     deliverToEntry(e, instance,
-                   entry::CancelAsked{caller.Session, caller.Credential,
+                   entry::CancelRequested{caller.Session, caller.Credential,
                                       caller.RequestId});
     return;
   }
   if (caller.IsCall) {
     deliverToEntry(e, instance,
-                   entry::CallAsked{caller.Session, caller.Credential,
+                   entry::CallRequested{caller.Session, caller.Credential,
                                     "lernapp", "POST", "/progress",
                                     caller.Marker, false, caller.Key,
                                     caller.KeyTime});
     return;
   }
   deliverToEntry(e, instance,
-                 entry::GenerationAsked{caller.Session, caller.Credential,
+                 entry::GenerationRequested{caller.Session, caller.Credential,
                                         "tutor-llm", "", "", caller.Marker,
-                                        4'000, true});
+                                        4'000,
+                                     true});
 }
 
 void SimulatedCluster::resume(Caller &caller) {
@@ -817,7 +818,7 @@
   caller.Session = NextSession++;
   CallerOfSession[caller.Session] = &caller;
   deliverToEntry(e, EntryNodes[e]->Instance,
-                 entry::ResumeAsked{caller.Session, caller.Credential,
+                 entry::ResumeRequested{caller.Session, caller.Credential,
                                     caller.RequestId, caller.NextIndex});
 }
 
@@ -830,8 +831,8 @@
     return it->second;
   };
   if (auto *c = std::get_if<entry::ReplyToPeer>(&command)) {
-    const auto to = static_cast<std::size_t>(c->Reply >> 48);
-    const entry::MessageId id = c->Reply & 0xffff'ffff'ffffULL;
+    const auto to = static_cast<std::size_t>(c->ReplyId >> 48);
+    const entry::MessageId id = c->ReplyId & 0xffff'ffff'ffffULL;
     scheduleAfter(linkDelay(), [this, to, id,
                                 instance = EntryNodes[to]->Instance,
                                 message = c->Message] {
