--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -44,8 +44,9 @@
 }
 
 /// Expects the scenario to break without the mechanism and to hold with it.
-void expectMechanismNeeded(const char *name, const SimulatedClusterOptions &without,
-                           const std::function<void(SimulatedCluster &)> &scenario) {
+void expectMechanismNeeded(
+    const char *name, const SimulatedClusterOptions &without,
+    const std::function<void(SimulatedCluster &)> &scenario) {
   base::setInvariantsFatal(false);
   std::string example;
   const int broken = countBroken(without, scenario, &example);
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -780,22 +780,21 @@
   if (caller.IsCancel) {
     deliverToEntry(e, instance,
                    entry::CancelRequested{caller.Session, caller.Credential,
-                                      caller.RequestId});
+                                          caller.RequestId});
     return;
   }
   if (caller.IsCall) {
     deliverToEntry(e, instance,
                    entry::CallRequested{caller.Session, caller.Credential,
-                                    "lernapp", "POST", "/progress",
-                                    caller.Marker, false, caller.Key,
-                                    caller.KeyTime});
+                                        "lernapp", "POST", "/progress",
+                                        caller.Marker, false, caller.Key,
+                                        caller.KeyTime});
     return;
   }
   deliverToEntry(e, instance,
                  entry::GenerationRequested{caller.Session, caller.Credential,
-                                        "tutor-llm", "", "", caller.Marker,
-                                        4'000,
-                                     true});
+                                            "tutor-llm", "", "", caller.Marker,
+                                            4'000, true});
 }
 
 void SimulatedCluster::resume(Caller &caller) {
@@ -819,7 +818,7 @@
   CallerOfSession[caller.Session] = &caller;
   deliverToEntry(e, EntryNodes[e]->Instance,
                  entry::ResumeRequested{caller.Session, caller.Credential,
-                                    caller.RequestId, caller.NextIndex});
+                                        caller.RequestId, caller.NextIndex});
 }
 
 void SimulatedCluster::handleCallerCommand(std::size_t e,
