--- a/src/agent/call-table.cc
+++ b/src/agent/call-table.cc
@@ -14,12 +14,14 @@
 using base::seconds;
 using base::Verdict;
 
-/// Records outlive the keys' window by more than any clock's error.
+/// Records are kept longer than MaxKeyAge, by more than the largest clock skew,
+/// so that a key is refused as too old before its record is evicted.
 constexpr seconds RecordRetention = MaxKeyAge + seconds(60);
 constexpr seconds SweepInterval{5};
 constexpr base::milliseconds OverloadRetryDelay{200};
 constexpr base::milliseconds LossRetryDelay{500};
-/// A larger answer is not kept for repeats.
+/// Larger answers are not stored; repeats of such calls are refused with
+/// AnswerTooLarge.
 constexpr std::size_t MaxStoredAnswerBytes = 64 << 10;
 
 std::uint64_t fingerprintOf(const wire::Call &call) {
@@ -69,7 +71,8 @@
   const bool isKeyTimeUnproven =
       keyTime < keysCompleteSince || now.Wall - keyTime > MaxKeyAge;
   if (!call.repeatable() && isKeyTimeUnproven && Options.Enabled.CheckKeyTime) {
-    // An earlier incarnation or owner may have run it and forgotten.
+    // An earlier incarnation of this agent or a former owner of the key may
+    // have run the call without leaving a record here.
     refuse(reply, {Verdict::MayHaveRun, Reason::KeyTimeUnproven, {}});
     return;
   }
@@ -139,7 +142,8 @@
   for (ReplyId waiting : record.WaitingReplies)
     answer(waiting, record);
   record.WaitingReplies.clear();
-  // A proven "not run" leaves the key free for another try.
+  // The service was not reached, so the call provably did not run and the key
+  // may be used again. The failed attempts themselves stay refused.
   const bool isProvenNotRun = !e.Answered && !e.Reached;
   if (isProvenNotRun)
     for (const std::string &attempt : record.Attempts)
--- a/src/agent/call-table.h
+++ b/src/agent/call-table.h
@@ -1,4 +1,5 @@
-/// Calls of a plain service: at most once for those that may not be repeated.
+/// Table of calls to a plain service. Runs calls that are not repeatable at
+/// most once per idempotency key.
 #pragma once
 
 #include "drumlanding/agent/core.h"
@@ -13,14 +14,15 @@
 public:
   CallTable(const CoreOptions &options, Commands &out);
 
-  /// Runs a call, or answers it as before. `keysFrom` is the wall time since
-  /// when this process has seen every key that it owns.
+  /// Runs a call, or replies with the recorded result if the key is in the
+  /// table. Every key issued since `keysCompleteSince` was handled by this
+  /// process; older keys may have run elsewhere.
   void call(base::Now now, ReplyId reply, const wire::Call &call,
             base::WallTime keysCompleteSince);
   void revoke(base::Now now, ReplyId reply, const wire::Revoke &message);
   bool contains(const std::string &id) const { return Records.contains(id); }
-  /// Refuses a call as "not run" and remembers that this attempt must not run
-  /// later, when a copy of it arrives.
+  /// Refuses a call as NotRun and records a tombstone for the attempt, so that
+  /// a delayed duplicate of the message does not run it.
   void refuseAndTombstone(base::Now now, ReplyId reply,
                           const std::string &attempt,
                           const base::Refusal &refusal);
@@ -37,10 +39,10 @@
     wire::CallReply Reply;
     base::Refusal Failure;
     std::vector<ReplyId> WaitingReplies;
-    /// Every attempt that asked for this call.
+    /// Ids of all attempts that requested this call.
     std::vector<std::string> Attempts;
     base::Instant EndedAt;
-    /// Starts of the real call; never more than one.
+    /// Number of times the call was sent to the service; at most 1.
     int Starts = 0;
   };
 
@@ -52,13 +54,14 @@
   const CoreOptions &Options;
   Commands &Out;
   std::unordered_map<std::string, Record> Records;
-  /// Attempts that were answered "not run", and when.
+  /// Attempts refused as NotRun, with the time of the refusal.
   std::unordered_map<std::string, base::Instant> Tombstones;
   std::size_t OpenCount = 0;
   base::Instant LastSweep;
 };
 
-/// Keys older than this are refused; records are kept longer.
+/// Maximum age of an idempotency key. Older keys are refused; records are kept
+/// longer than this.
 inline constexpr base::seconds MaxKeyAge{600};
 
 } // namespace drumlanding::agent
--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -22,13 +22,15 @@
 
 constexpr milliseconds ShortRetryDelay{200};
 constexpr milliseconds NotReadyRetryDelay{1'000};
-/// Most by which the clocks of two VMs may differ.
+/// Maximum clock difference between two VMs.
 constexpr seconds MaxClockSkew{5};
-/// A bundle is in force everywhere after this long; see the users' target.
+/// Time after which a new bundle is in force on every process; follows from the
+/// users' propagation target.
 constexpr seconds MaxBundlePropagation{11};
-/// An order to load that had no effect is given again after this long.
+/// Interval after which a load command without effect is sent again.
 constexpr seconds LoadRetryInterval{20};
-/// What is still on the engine this long before a reclaim is given up.
+/// Generations still on the engine this long before the VM is reclaimed are
+/// failed, so that callers receive the reason in time.
 constexpr milliseconds ReclaimMargin{500};
 
 bool isModelLoaded(const std::vector<plan::LoadedModel> &models,
@@ -145,7 +147,7 @@
   refuse(e.Reply, {Verdict::NotRun, Reason::MalformedRequest, {}});
 }
 
-/// Returns why a new request cannot be taken; Reason::None when it can.
+/// Returns the refusal for a new request, with Reason::None if it is admitted.
 Refusal Core::admissionRefusal(base::Now now,
                                const wire::Request &message) const {
   const bool isStart = message.has_start();
@@ -159,7 +161,8 @@
                          Lifecycle.state() == ServerState::Drained;
   if (isLeaving && Options.Enabled.RefuseWhenLeaving)
     return {Verdict::NotRun, Reason::Leaving, ShortRetryDelay};
-  // The higher version governs; who is behind gets the document first.
+  // Both sides must have the same bundle. The side with the lower version
+  // fetches the newer document before the request is sent again.
   const std::uint64_t theirs = message.versions().bundle();
   const std::uint64_t ours = Documents.versions().bundle();
   if (theirs > ours)
@@ -242,7 +245,8 @@
 void Core::sync(base::Now now, ReplyId id, const wire::Sync &message) {
   if (message.listed_leaving() && !IsListedLeaving) {
     IsListedLeaving = true;
-    logDecision("agent.drain", "leaving: the platform's list says so");
+    logDecision("agent.drain",
+                "leaving: marked as leaving in the platform's server list");
   }
   applyDocuments(now);
   wire::Reply answer;
@@ -254,7 +258,7 @@
   std::string why;
   const plan::Offer offer = Documents.unpack(now.Wall, document, &why);
   logDecision("agent.document",
-              fmt::format("offered {}: {} {}", plan::toString(document.kind()),
+              fmt::format("received {}: {} {}", plan::toString(document.kind()),
                           plan::toString(offer), why));
   if (offer == plan::Offer::Taken)
     applyDocuments(now);
@@ -267,7 +271,8 @@
   IsDrainingInBundle = bundle->isDraining(Options.Server);
   const bundle::Service *service = bundle->service(Options.Service);
   if (service && service->Servers != ServiceServers) {
-    // Keys from before another list was in force may have run elsewhere.
+    // Until the new server list is in force everywhere, calls with keys that
+    // this server now owns may have run on another server.
     if (!ServiceServers.empty())
       ServiceServersSince = now.Wall + MaxBundlePropagation;
     ServiceServers = service->Servers;
@@ -278,7 +283,7 @@
   if (!assignment || !ServerAlive)
     return;
   invariant(Invariant::VersionNeverFalls, plan->Version >= LoadedFence,
-            "order to the engine");
+            "load command to the engine");
   const bool isNew = plan->Version > LoadedFence;
   const bool isOverdue = now.Steady - LastLoadAt > LoadRetryInterval;
   if (assignment->Models == Models || (!isNew && !isOverdue))
@@ -322,11 +327,13 @@
 
 void Core::on(base::Now now, ServerObserved &e) {
   if (ServerAlive && !e.IsAlive) {
-    logDecision("agent.engine", "the backend server no longer answers");
+    logDecision(
+        "agent.engine",
+        "backend server stopped responding; failing its open generations");
     Generations->onServerLost(now);
   }
   if (!ServerAlive && e.IsAlive)
-    LoadedFence = 0; // a new engine has loaded nothing of the plan
+    LoadedFence = 0; // A restarted engine has loaded no models of the plan.
   ServerAlive = e.IsAlive;
   Models = e.Models;
   if (e.CapacityTokens > 0)
--- a/src/agent/generation-table.cc
+++ b/src/agent/generation-table.cc
@@ -16,15 +16,17 @@
 using base::seconds;
 using base::Verdict;
 
-/// Ended generations and tombstones are kept this long. It must be longer than
-/// any Start can be on its way; see Start.not_after_ms.
+/// Retention of ended generations and tombstones. Must exceed the maximum time
+/// that a Start message can be in transit; see Start.not_after_ms.
 constexpr seconds EndedRetention{120};
-/// A generation that no entry has asked after for this long is cancelled.
+/// A generation that no entry has polled or attached to for this long is
+/// cancelled.
 constexpr seconds OrphanTimeout{15};
 constexpr seconds SweepInterval{1};
 constexpr seconds MaxPollWait{10};
 constexpr base::milliseconds LossRetryDelay{500};
-/// Most tokens in one reply, so that a resumed stream cannot fill the link.
+/// Maximum number of tokens of one generation in a reply. Without a limit, a
+/// resumed stream could occupy the link.
 constexpr std::size_t MaxTokensPerPart = 2'000;
 
 } // namespace
@@ -112,7 +114,8 @@
 void GenerationTable::attach(base::Now now, ReplyId replyId,
                              const wire::Attach &message) {
   Generation *g = find(message.request_id());
-  // Another organisation's generation is answered as one that is not there.
+  // Reply NotFound for another organisation's generation, so that its existence
+  // is not disclosed.
   if (!g || g->IsTombstone ||
       g->Start.organisation() != message.organisation()) {
     refuse(replyId, {Verdict::NotRun, Reason::NotFound, {}});
@@ -158,7 +161,7 @@
   HasUpdates = true;
   JobScheduler.remove(now.Steady, g.Job, false);
   RequestIdByJob.erase(g.Job);
-  // A yielded one is remembered by the engine, which must forget it too.
+  // The engine keeps the state of a yielded generation until it is stopped.
   const bool isYielded = before == GenerationState::Yielded;
   if (stopOnEngine && (isOnEngine || isYielded))
     Out.push_back(StopOnEngine{id, false});
@@ -181,7 +184,8 @@
     return;
   const auto receivedCount = static_cast<std::uint32_t>(g->Tokens.size());
   if (e.FirstIndex > receivedCount) {
-    // A hole can never be filled: better no answer than a wrong one.
+    // Missing tokens cannot be recovered, so the generation fails instead of
+    // returning an answer with a gap.
     fail(now, e.RequestId, *g, {Verdict::Ran, Reason::StreamGap, {}}, true);
     return;
   }
@@ -192,7 +196,8 @@
   std::move(e.Tokens.begin() + alreadyReceived, e.Tokens.end(),
             std::back_inserter(g->Tokens));
   HasUpdates = true;
-  // A first token is not kept waiting for the next tick.
+  // Deliver the first token at once instead of at the next tick, to keep the
+  // time to first token short.
   if (receivedCount == 0)
     completePolls(now);
   JobScheduler.recordTokens(now.Steady, g->Job,
@@ -219,10 +224,11 @@
     return;
   case EngineOutcome::Unreachable:
   case EngineOutcome::Refused: {
-    // Only the first try proves that nothing ran.
+    // A failed start proves that nothing ran only if the generation was never
+    // on the engine before.
     g->WasSubmitted = !hasNoTokens || JobScheduler.yieldCount(g->Job) > 0;
     const Verdict verdict = g->WasSubmitted ? Verdict::Ran : Verdict::NotRun;
-    // An engine that refused to resume it still remembers it.
+    // An engine that refuses to resume a generation still keeps its state.
     fail(now, e.RequestId, *g, {verdict, Reason::EngineLost, LossRetryDelay},
          g->WasSubmitted);
     return;
@@ -270,7 +276,8 @@
   for (const wire::Cursor &cursor : message.poll().cursors())
     if (Generation *g = find(cursor.request_id()))
       g->LastAccessedAt = now.Steady;
-  // A new poll of the same entry takes the place of the one before.
+  // A new poll from the same entry replaces the pending one, which gets an
+  // empty reply.
   const auto it = PendingPolls.find(message.sender());
   if (it != PendingPolls.end()) {
     wire::Reply empty;
--- a/src/agent/generation-table.h
+++ b/src/agent/generation-table.h
@@ -1,5 +1,5 @@
-/// Generations of one agent: their buffers of tokens, who follows them, and
-/// their way on and off the engine.
+/// Table of one agent's generations: buffers their tokens, serves polls for
+/// them, and starts and stops them on the engine.
 #pragma once
 
 #include "drumlanding/agent/core.h"
@@ -15,16 +15,16 @@
 public:
   GenerationTable(const CoreOptions &options, Commands &out);
 
-  /// Takes a request that passed every check, or answers again as before.
+  /// Adds a generation whose request passed every check.
   void start(base::Now now, ReplyId reply, const wire::Start &start,
              const JobSpec &spec);
   bool contains(const std::string &id) const {
     return Generations.contains(id);
   }
-  /// Remembers that `id` must never start: what was said not to have run must
-  /// not run later, when a copy of its Start arrives.
+  /// Records that `id` must never start: the caller was told NotRun, so a
+  /// delayed duplicate of the Start must not run it.
   void recordTombstone(base::Now now, const std::string &id);
-  /// Answers a request that is known already.
+  /// Replies to a repeated request for a generation in the table.
   void replyToDuplicate(ReplyId reply, const std::string &id);
   base::milliseconds predictedWait(const JobSpec &spec) const {
     return JobScheduler.predictedWait(spec);
@@ -40,7 +40,8 @@
   void recordStep(const StepObserved &e);
   void setCapacity(std::uint64_t tokens);
   void onServerLost(base::Now now);
-  /// Gives up what waits, and later all, when the VM is about to vanish.
+  /// Fails the generations not yet submitted, because the VM is about to be
+  /// reclaimed; with `includeSubmitted`, fails all open generations.
   void failForReclaim(base::Now now, bool includeSubmitted);
   void tick(base::Now now, bool canRun);
 
@@ -55,14 +56,15 @@
     GenerationLifecycle Lifecycle;
     std::vector<std::string> Tokens;
     base::Refusal Failure;
-    /// Set by a Revoke that came first: a late Start is refused.
+    /// The request was refused, or revoked before its Start arrived; a later
+    /// Start is refused.
     bool IsTombstone = false;
     bool WasSubmitted = false;
     base::Instant LastAccessedAt;
     base::Instant EndedAt;
   };
 
-  /// A long poll that waits for something to say.
+  /// A long poll held until there are updates or its deadline passes.
   struct PendingPoll {
     ReplyId Reply = 0;
     wire::Poll Poll;
@@ -93,7 +95,7 @@
   std::map<std::string, PendingPoll> PendingPolls;
   JobId NextJobId = 1;
   std::size_t OpenCount = 0;
-  /// Something happened that a parked poll may wait for.
+  /// Tokens or generation ends arrived since pending polls were last checked.
   bool HasUpdates = false;
   base::Instant LastSweep;
 };
