--- a/include/drumlanding/agent/core.h
+++ b/include/drumlanding/agent/core.h
@@ -1,5 +1,6 @@
-/// Agent core: the only gate to one backend server. Deterministic, without I/O
-/// or threads: events and the time go in, commands come out.
+/// Agent core: decides on all requests to one backend server, which receives
+/// requests only through its agent. Deterministic, without I/O or threads:
+/// takes events and the time, returns commands.
 ///
 ///   Core core(options);
 ///   for (const Command &c : core.handle(now, TokensArrived{id, 0, {"Hi"}}))
@@ -22,62 +23,63 @@
 
 namespace drumlanding::agent {
 
-/// Names a request that waits for its reply.
+/// Identifies a request that has not been replied to.
 using ReplyId = std::uint64_t;
 
 // Events.
 
-/// A message from an entry or a peer.
+/// A message from an entry or another peer.
 struct RequestArrived {
   ReplyId Reply = 0;
   wire::Request Message;
 };
-/// Tokens of a generation, numbered from FirstIndex.
+/// Tokens of a generation; the first one has index FirstIndex.
 struct TokensArrived {
   std::string RequestId;
   std::uint32_t FirstIndex = 0;
   std::vector<std::string> Tokens;
 };
-/// How a generation left the engine.
+/// How a generation's stream from the engine ended.
 enum class EngineOutcome {
-  Finished,       ///< The answer is whole.
-  Released,       ///< Off the engine; it can be resumed.
-  Unreachable,    ///< The engine was never reached: nothing ran.
-  Refused,        ///< The engine refused to start it: nothing ran.
-  ConnectionLost, ///< The connection broke; what the engine does is unknown.
-  Unresumable     ///< The engine no longer knows it.
+  Finished,       ///< The answer is complete.
+  Released,       ///< Yielded or preempted; it can be resumed.
+  Unreachable,    ///< No connection to the engine: this start ran nothing.
+  Refused,        ///< The engine refused to start it: this start ran nothing.
+  ConnectionLost, ///< The connection failed; it may still run on the engine.
+  Unresumable     ///< The engine no longer has its state.
 };
 struct EngineStreamEnded {
   std::string RequestId;
   EngineOutcome Outcome = EngineOutcome::ConnectionLost;
 };
-/// What became of a call of the plain service.
+/// The result of a call to the plain service.
 struct CallEnded {
   std::string RequestId;
-  /// False when the service was never reached: nothing ran.
+  /// False if no connection was made, so that the call did not run.
   bool Reached = false;
-  /// False when it was reached and the answer was lost.
+  /// False if no complete answer was received.
   bool Answered = false;
   wire::CallReply Reply;
 };
-/// The backend server answers, or no longer does.
+/// The result of a health check of the backend server.
 struct ServerObserved {
   bool IsAlive = false;
-  /// Engines: memory in tokens and the models it holds; empty otherwise.
+  /// KV cache capacity in tokens and the loaded models, for engines; otherwise
+  /// zero and empty.
   std::uint64_t CapacityTokens = 0;
   std::vector<plan::LoadedModel> Models;
 };
-/// One engine step as seen from the token stream.
+/// The duration of one engine step and the prompt tokens prefilled in it.
 struct StepObserved {
   base::Duration Elapsed{0};
   std::uint32_t PrefillTokens = 0;
 };
-/// This VM is leaving: the process was told to stop, or reclaimed with a
-/// deadline after which nothing can finish.
+/// The process must stop. With a deadline, the VM is being reclaimed and no
+/// work can finish after it.
 struct LeaveRequested {
   std::optional<base::Instant> Deadline;
 };
-/// Time has passed; sent every few milliseconds.
+/// Drives timeouts and scheduling; sent every few milliseconds.
 struct Tick {};
 
 using Event =
@@ -95,10 +97,11 @@
   std::string RequestId;
   wire::Start Start;
   int Priority = 0;
-  /// Tokens that the engine has produced already.
+  /// Number of tokens that the engine has already produced; 0 for a new start.
   std::uint32_t ResumeFrom = 0;
 };
-/// Takes a generation off the engine; `Keep` asks it to remember it.
+/// Stops a generation on the engine. With `KeepState`, the engine keeps its
+/// state so that it can be resumed.
 struct StopOnEngine {
   std::string RequestId;
   bool KeepState = false;
@@ -107,7 +110,8 @@
   std::string RequestId;
   wire::Call Call;
 };
-/// Loads models; engines that check fences refuse a lower one.
+/// Loads models. `Fence` is a fencing token: engines that check it refuse a
+/// command with a lower one than the last.
 struct LoadOnEngine {
   std::uint64_t Fence = 0;
   std::vector<plan::LoadedModel> Models;
@@ -117,8 +121,8 @@
                              CallService, LoadOnEngine>;
 using Commands = std::vector<Command>;
 
-/// Switches for the proofs: each takes one mechanism away, so that a test can
-/// show that it fails without it. All are on in the programs.
+/// Switches for single safety mechanisms. Tests turn one off to show that their
+/// scenario fails without it. All are on in the programs.
 struct Mechanisms {
   bool RememberRequests = true;
   bool RecordTombstones = true;
@@ -133,16 +137,17 @@
   std::string Service;
   std::string Place;
   std::uint64_t Incarnation = 0;
-  /// Wall time at which this process started.
+  /// Wall time at which this process started. Calls whose idempotency key is
+  /// older may have run in an earlier incarnation.
   base::WallTime StartedAt{};
   bundle::TrustedKeys Trusted;
   SchedulerOptions Scheduling;
   std::uint32_t MaxCalls = 64;
   Mechanisms Enabled;
-  /// Gets one sentence for each decision.
+  /// Called with one line of text for each decision; may be empty.
   std::function<void(std::string_view part, std::string_view sentence)>
       LogDecision;
-  /// Counts for the metrics.
+  /// Called to increment a metric; may be empty.
   std::function<void(std::string_view metric, double by)> IncrementMetric;
 };
 
@@ -156,7 +161,8 @@
 
   Commands handle(base::Now now, Event event);
 
-  /// State for the shell's metrics, /readyz and the end of a planned stop.
+  /// State that the shell uses for metrics, /readyz and to decide when a
+  /// planned stop is complete.
   ServerState serverState() const;
   SchedulerLoad load() const;
   const plan::DocumentStore &documents() const { return Documents; }
@@ -200,13 +206,15 @@
   std::vector<plan::LoadedModel> Models;
   std::uint64_t LoadedFence = 0;
   base::Instant LastLoadAt{};
-  /// Wall time since when the service's servers are the ones of the bundle.
+  /// Wall time from which keys are guaranteed to be routed by `ServiceServers`,
+  /// the service's server list in the bundle.
   base::WallTime ServiceServersSince{};
   std::vector<std::string> ServiceServers;
 };
 
-/// Returns the server that owns an idempotency key: the only one that may run
-/// its call. Rendezvous hashing, so that a changed list moves few keys.
+/// Returns the server that owns an idempotency key, the only one that may run
+/// its call. Uses rendezvous hashing, so that a change of the list reassigns
+/// few keys.
 std::string ownerOfKey(const std::vector<std::string> &servers,
                        std::string_view key);
 
--- a/include/drumlanding/agent/lengths.h
+++ b/include/drumlanding/agent/lengths.h
@@ -1,13 +1,15 @@
-/// Output lengths: how long generations of a kind go on, learnt online.
+/// Model of output lengths: estimates online how many tokens the generations of
+/// a class produce.
 ///
 ///   LengthModel lengths;
-///   lengths.passed(cls, from, to);       // a generation produced more tokens
-///   lengths.ended(cls, length);
-///   double p = lengths.survival(cls, 100, 64); // still going at 164?
+///   lengths.recordProgress(cls, from, to);
+///   lengths.recordEnd(cls, length);
+///   // Probability that a generation with 100 tokens reaches 164.
+///   double p = lengths.survival(cls, 100, 64);
 ///
-/// The estimate is Kaplan and Meier's (1958) over geometric buckets: running
-/// generations count as exposure, so a drift to longer outputs is seen before
-/// the first long one ends. Old observations fade.
+/// Uses the Kaplan-Meier estimator (1958) over geometric buckets. Running
+/// generations count as exposure, so a drift to longer outputs shows before the
+/// first long generation ends. Old observations decay exponentially.
 #pragma once
 
 #include <array>
@@ -18,7 +20,7 @@
 
 namespace drumlanding::agent {
 
-/// A kind of generation: an organisation's use of one model.
+/// Hash of an organisation and a model, whose generations share an estimate.
 using LengthClass = std::uint64_t;
 
 /// Returns the class of an organisation's generations on a model.
@@ -26,36 +28,37 @@
 
 class LengthModel {
 public:
-  /// Buckets grow by a quarter octave, from 1 token to 2^16.
+  /// Each bucket spans a quarter octave of lengths, from 1 to 2^16 tokens.
   static constexpr int BucketsPerOctave = 4;
   static constexpr int Buckets = 16 * BucketsPerOctave;
 
   LengthModel();
 
-  /// Notes that a generation of `cls` went from `from` to `to` tokens without
+  /// Records that a generation of `cls` grew from `from` to `to` tokens without
   /// ending.
   void recordProgress(LengthClass cls, std::uint32_t from, std::uint32_t to);
 
-  /// Notes that a generation ended by itself at `length` tokens.
+  /// Records that a generation ended by itself after `length` tokens.
   void recordEnd(LengthClass cls, std::uint32_t length);
 
   /// Returns the probability that a generation with `produced` tokens produces
-  /// at least `more` further ones. Unknown classes use what all others show,
-  /// and before that a cautious prior.
+  /// at least `additional` more. Unknown classes use the estimate over all
+  /// classes, which starts from a cautious prior.
   double survival(LengthClass cls, std::uint32_t produced,
                   std::uint32_t additional) const;
 
-  /// Returns the expected number of further tokens, at most `limit`.
+  /// Returns the expected number of tokens that a generation with `produced`
+  /// tokens adds until it ends or has `limit` tokens.
   double expectedRemaining(LengthClass cls, std::uint32_t produced,
                            std::uint32_t limit) const;
 
 private:
   using BucketValues = std::array<double, Buckets>;
-  /// Faded counts of one class and the survival curve made of them.
+  /// Decayed counts of one class and the survival curve computed from them.
   struct Curve {
     BucketValues Exposure{};
     BucketValues Ends{};
-    /// Logarithm of the probability to get past the end of each bucket.
+    /// Logarithm of the probability of growing beyond each bucket.
     BucketValues LogSurvival{};
     int ChangesSinceRebuild = 0;
   };
--- a/include/drumlanding/agent/lifecycle.h
+++ b/include/drumlanding/agent/lifecycle.h
@@ -1,9 +1,9 @@
-/// Lifecycles: the legal steps of a generation and of a backend server, as
-/// tables (Boost.MSM). A step that is not in the table is refused.
+/// Lifecycles of a generation and of a backend server as state machines
+/// (Boost.MSM). An event without a transition in the table is rejected.
 ///
-///   GenerationLifecycle life;
-///   life.apply(GenerationStep::Submit);      // true
-///   life.state();                            // GenerationState::Submitted
+///   GenerationLifecycle lifecycle;
+///   lifecycle.apply(GenerationEvent::Submit); // true
+///   lifecycle.state();                        // GenerationState::Submitted
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 enum class GenerationState : std::uint8_t {
   Waiting,   ///< Accepted, not yet sent to the engine: it can be revoked.
-  Submitted, ///< Sent to the engine, no token yet.
+  Submitted, ///< Sent to the engine, no token received yet.
   Streaming, ///< Tokens are arriving.
-  Yielding,  ///< The engine was asked to let go of it.
-  Yielded,   ///< Off the engine, waiting to come back.
-  Finished,  ///< The whole answer is here.
-  Failed,    ///< It ended without the whole answer.
+  Yielding,  ///< The engine was asked to release it.
+  Yielded,   ///< Off the engine, waiting to be resumed.
+  Finished,  ///< The answer is complete.
+  Failed,    ///< Ended without a complete answer.
 };
 
 enum class GenerationEvent : std::uint8_t {
@@ -31,7 +31,7 @@
   Fail,
 };
 
-/// One generation's lifecycle.
+/// The lifecycle of one generation.
 class GenerationLifecycle {
 public:
   GenerationLifecycle();
@@ -39,7 +39,8 @@
   GenerationLifecycle(GenerationLifecycle &&) noexcept;
   GenerationLifecycle &operator=(GenerationLifecycle &&) noexcept;
 
-  /// Takes a step; false, and no change, when the table does not have it.
+  /// Applies an event. Returns false and keeps the state if the table has no
+  /// transition for it.
   bool apply(GenerationEvent event);
   GenerationState state() const;
   bool isOver() const;
@@ -52,8 +53,8 @@
 enum class ServerState : std::uint8_t {
   Starting, ///< Waiting for a bundle and for its backend server.
   Serving,
-  Leaving, ///< No new work; what is in flight goes on.
-  Drained, ///< Leaving, and nothing is in flight.
+  Leaving, ///< Accepts no new work; open work continues.
+  Drained, ///< Leaving, and no work is open.
 };
 
 enum class ServerEvent : std::uint8_t { Ready, Leave, CancelLeave, Drain };
--- a/include/drumlanding/agent/scheduler.h
+++ b/include/drumlanding/agent/scheduler.h
@@ -1,12 +1,12 @@
-/// Scheduler: which generation goes on the engine next, which must yield and
-/// which comes back. The decisions of one agent, without I/O.
+/// Scheduler: decides which generations start on the engine, which yield to
+/// others and which resume. Belongs to one agent; without I/O.
 ///
 ///   Scheduler s(options);
 ///   s.add(now, id, spec);
 ///   for (JobId id : s.decide(now).Start) ...
 ///
-/// The agent sees every token, so the account of the engine's memory is exact;
-/// the engine's own report lags and serves only as a check.
+/// Every token passes through the agent, so its count of used KV cache is
+/// exact. The engine's own report lags behind and serves only as a check.
 #pragma once
 
 #include "drumlanding/agent/lengths.h"
@@ -26,7 +26,7 @@
 
 using JobId = std::uint64_t;
 
-/// What the scheduler knows of a generation when it arrives.
+/// Parameters of a generation, known when it is added.
 struct JobSpec {
   std::string Organisation;
   LengthClass Class = 0;
@@ -36,57 +36,60 @@
   double GapWeight = 1;
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxTokens = 0;
-  /// The longest wait for the engine that the contract accepts.
+  /// Maximum wait for the engine that the contract allows.
   base::milliseconds MaxQueueWait{0};
 };
 
-/// A generation as the hooks see it.
+/// A generation as passed to callbacks.
 struct JobView {
   JobId Id;
   const JobSpec &Spec;
   std::uint32_t Produced;
 };
 
-/// How admission judges whether one more generation fits.
+/// How admission decides whether one more generation fits.
 enum class AdmissionRule {
-  Survival, ///< Expected use and its deviation at several horizons.
-  Reserve,  ///< A fixed number of tokens for each generation.
-  Greedy,   ///< Whatever fits now (a baseline; the engine preempts).
+  Survival, ///< Mean and deviation of use at several horizons.
+  Reserve,  ///< A fixed number of tokens per generation.
+  Greedy,   ///< Everything; the engine preempts (a baseline).
 };
 
 struct SchedulerOptions {
-  /// Memory of the engine in tokens.
+  /// KV cache capacity of the engine in tokens.
   std::uint64_t CapacityTokens = 60'000;
   AdmissionRule Rule = AdmissionRule::Survival;
-  /// Deviations of head-room for a stall weight of 1.
+  /// Headroom in standard deviations of the forecast, at a stall weight of 1.
   double RiskFactor = 1.5;
-  /// Added to the risk factor by each yield; it fades again. The forecast is
-  /// wrong while lengths drift, and yields are the proof.
+  /// Added to the risk factor by each yield; decays over time. Yields show that
+  /// the forecast is too low, for instance while output lengths drift.
   double RiskPerYield = 0.25;
-  /// Longest step that prefill may stretch to, for a gap weight of 1; zero
-  /// leaves prefill unpaced.
+  /// Maximum duration of a step with prefill, at a gap weight of 1; zero
+  /// removes the limit.
   base::milliseconds StepTarget{60};
-  /// A generation that has yielded this often yields only when all have.
+  /// A generation that has yielded this often is selected to yield again only
+  /// when all running ones have.
   std::uint32_t MaxYields = 2;
-  /// Tokens reserved for each generation by AdmissionRule::Reserve.
+  /// Tokens that AdmissionRule::Reserve reserves for each generation.
   std::uint32_t ReserveTokens = 4'000;
-  /// Part of the memory that organisations above their share may fill.
+  /// Fraction of the capacity up to which organisations above their fair share
+  /// are admitted.
   double OverShareCapacityFraction = 0.9;
-  /// Forecasts look at most this many tokens ahead.
+  /// Admission forecasts look at most this many tokens ahead.
   std::uint32_t MaxHorizon = 512;
-  /// A yielded generation that has waited this long makes others yield.
+  /// Others yield for a yielded generation that has waited this long.
   base::milliseconds ForceResumeAfter{6'000};
-  /// Replaces the learnt lengths; the bench's oracle knows them all.
+  /// Replaces the learnt length model, for instance by the benchmark's oracle.
   std::function<double(const JobView &, std::uint32_t additional)> Survival;
 };
 
-/// What has to happen now. A yielded generation is resumed by Start again.
+/// Generations to start and to yield now. `Start` includes yielded ones to
+/// resume.
 struct Decisions {
   std::vector<JobId> Start;
   std::vector<JobId> Yield;
 };
 
-/// Figures for the report and the metrics.
+/// Load figures for reports to the entries and for metrics.
 struct SchedulerLoad {
   std::uint32_t Running = 0;
   std::uint32_t Waiting = 0;
@@ -100,22 +103,24 @@
 public:
   explicit Scheduler(SchedulerOptions options);
 
-  /// Takes a generation into its organisation's queue.
+  /// Adds a generation to its organisation's queue.
   void add(base::Instant now, JobId id, const JobSpec &spec);
 
   /// Predicts how long a new generation would wait for the engine.
   base::milliseconds predictedWait(const JobSpec &spec) const;
 
-  /// Notes `count` tokens of a running generation.
+  /// Records `count` new tokens of a running generation.
   void recordTokens(base::Instant now, JobId id, std::uint32_t count);
 
-  /// Notes that a generation that had to yield has left the engine.
+  /// Records that a generation has left the engine, because it yielded or was
+  /// preempted.
   void recordYielded(base::Instant now, JobId id);
 
-  /// Forgets a generation; `ended` says that it ended by itself.
+  /// Removes a generation; `ended` is true if it ended by itself.
   void remove(base::Instant now, JobId id, bool ended);
 
-  /// Notes the length of one engine step that prefilled nothing, or some.
+  /// Records the duration of an engine step that prefilled `prefillTokens`
+  /// tokens, or none.
   void recordStep(base::Duration step, std::uint32_t prefillTokens);
 
   Decisions decide(base::Instant now);
@@ -139,22 +144,23 @@
     JobState State = JobState::Waiting;
     std::uint32_t Produced = 0;
     std::uint32_t Yields = 0;
-    /// Tokens to prefill at the last start.
+    /// Tokens prefilled at the last start or resume.
     std::uint32_t PrefillTokens = 0;
     base::Instant StateSince;
-    /// Produced when the forecast was last made.
+    /// Value of `Produced` at the last forecast.
     std::uint32_t ForecastProduced = 0;
     PerHorizon Mean{};
     PerHorizon Variance{};
     std::uint64_t tokens() const { return Spec.PromptTokens + Produced; }
   };
 
-  /// One organisation's queue and its use so far.
+  /// Queue and resource use of one organisation.
   struct Tenant {
     std::deque<JobId> Queue;
-    /// The contract's share and priority in one weight.
+    /// Weight computed from the contract's share and priority.
     double Share = 1;
-    /// Tokens got, divided by the share.
+    /// Attained service: tokens produced and, at a lower cost, prompt tokens,
+    /// divided by the share.
     double Attained = 0;
     std::uint64_t UsedTokens = 0;
     std::uint32_t Active = 0;
@@ -204,10 +210,11 @@
   double GapWeightSum = 0;
   PerHorizon MeanSum{};
   PerHorizon VarianceSum{};
-  /// Learnt costs of the engine, in milliseconds.
+  /// Learnt durations of an engine step and of a prefill token, in
+  /// milliseconds.
   double PlainStepMs = 30;
   double PrefillTokenMs = 0.1;
-  /// Time between admissions, faded; for the predicted wait.
+  /// Moving average of the time between admissions; gives the predicted wait.
   double AdmissionIntervalMs = 0;
   base::Instant LastAdmission{};
 };
--- a/include/drumlanding/wire/link.h
+++ b/include/drumlanding/wire/link.h
@@ -1,11 +1,13 @@
-/// Links between our processes: nng request/reply, protobuf, a shared key.
+/// Links between the daemons of a deployment: protobuf messages over nng
+/// request/reply sockets, authenticated with a shared key.
 ///
 ///   auto server = Server::listen(endpoint, key, contexts, handler);
 ///   auto client = Client::dial(endpoint, key);
 ///   value(client)->call(request, 500ms, [](Result<Reply> r) { ... });
 ///
-/// A message without the right key is dropped without an answer. The handlers
-/// run on nng's threads and must only pass their argument on.
+/// A request that is not authenticated with the key is dropped without a reply.
+/// Handlers run on nng's threads and must not block: they hand their argument
+/// to another thread.
 #pragma once
 
 #include "control.pb.h"
@@ -24,35 +26,36 @@
   std::string Bytes;
 };
 
-/// Bytes and messages a link has carried; read for the metrics.
+/// Counts of bytes sent and received and of messages rejected, for metrics.
 struct LinkCounters {
   std::atomic<std::uint64_t> BytesIn{0};
   std::atomic<std::uint64_t> BytesOut{0};
   std::atomic<std::uint64_t> Rejected{0};
 };
 
-/// Sends the reply of one request; calls after the first do nothing. When it
-/// is destroyed unused the request stays unanswered.
+/// Sends the reply to one request; calls after the first have no effect. If it
+/// is destroyed without a call, the request gets no reply.
 using Responder = std::function<void(const Reply &)>;
 using RequestHandler = std::function<void(Request, Responder)>;
 using ReplyHandler = std::function<void(base::Result<Reply>)>;
 
-/// Packs a message with its authentication code. `isReply` sets the direction,
-/// so that a request can never pass for a reply.
+/// Packs a message with its authentication code. The code covers the direction
+/// (`isReply`), so that a request is never accepted as a reply.
 std::string seal(const ControlKey &key, std::uint64_t nonce, bool isReply,
                  const std::string &payload);
 
-/// What `open` finds in an authentic envelope.
+/// The content of an authentic envelope.
 struct OpenedEnvelope {
   std::uint64_t Nonce = 0;
   std::string Payload;
 };
 
-/// Checks and unpacks what `seal` made; an error for anything else.
+/// Verifies and unpacks the output of `seal`; returns an error for anything
+/// else.
 base::Result<OpenedEnvelope> open(const ControlKey &key, bool isReply,
                                   std::string_view bytes);
 
-/// Listens for requests.
+/// Receives requests and sends their replies.
 class Server {
 public:
   static base::Result<std::unique_ptr<Server>>
@@ -68,7 +71,8 @@
   std::shared_ptr<State> S;
 };
 
-/// Sends requests to one peer. Connects, and connects again, by itself.
+/// Sends requests to one peer. Connects in the background and reconnects when
+/// the connection is lost.
 class Client {
 public:
   static base::Result<std::unique_ptr<Client>>
@@ -76,8 +80,9 @@
        std::shared_ptr<LinkCounters> counters);
   ~Client();
 
-  /// Sends `request`; `done` is called exactly once, on an nng thread, with
-  /// the reply or with TimedOut. Pending calls fail when the client goes.
+  /// Sends `request`. Calls `done` exactly once: on an nng thread with the
+  /// reply or with TimedOut, or on the calling thread with Unavailable if the
+  /// request cannot be sent. Pending calls fail when the client is destroyed.
   void call(const Request &request, base::milliseconds timeout,
             ReplyHandler done);
 
--- a/include/drumlanding/wire/refusal.h
+++ b/include/drumlanding/wire/refusal.h
@@ -1,4 +1,4 @@
-/// Refusals on the wire.
+/// Conversion of refusals to and from their wire messages.
 ///
 ///   *reply.mutable_refused() = toWire({Verdict::NotRun, Reason::Leaving, {}});
 #pragma once
@@ -10,10 +10,11 @@
 
 Refused toWire(const base::Refusal &refusal);
 
-/// Reads a refusal; unknown numbers become the cautious choice.
+/// Converts from the wire message. An unknown verdict becomes
+/// MayHaveRun, an unknown reason None.
 base::Refusal fromWire(const Refused &refused);
 
-/// Returns a reply that refuses.
+/// Returns a reply that carries `refusal`.
 Reply refusedReply(const base::Refusal &refusal);
 
 } // namespace drumlanding::wire
--- a/include/drumlanding/wire/request-id.h
+++ b/include/drumlanding/wire/request-id.h
@@ -1,5 +1,6 @@
-/// Request ids: each names the agent's server and incarnation, so that any
-/// entry can find a stream and no other incarnation can mistake it.
+/// Request ids. Each contains the server and incarnation of its agent, so that
+/// any entry can find the stream and another incarnation does not mistake it
+/// for one of its own.
 ///
 ///   RequestId id{"tutor-1", 0x2a, randomId()};
 ///   parseRequestId(toString(id));
@@ -16,7 +17,7 @@
 struct RequestId {
   std::string Server;
   std::uint64_t Incarnation = 0;
-  /// 32 hexadecimal digits that nobody can guess.
+  /// 32 random hexadecimal digits, which cannot be guessed.
   std::string Nonce;
 };
 
--- a/src/agent/lengths.cc
+++ b/src/agent/lengths.cc
@@ -9,14 +9,16 @@
 namespace drumlanding::agent {
 namespace {
 
-/// Weight of the wider class in the hazard of a bucket, in observations.
+/// Weight of the parent estimate (all classes, or the prior) in the hazard of a
+/// bucket, as a number of observations.
 constexpr double ParentWeight = 25;
-/// Observations of a bucket fade with this many newer ones.
+/// Number of newer observations after which an observation has decayed to 1/e.
 constexpr double DecayObservations = 300;
-/// A curve is made anew after this many observations.
+/// A survival curve is recomputed after this many observations.
 constexpr int ChangesPerRebuild = 24;
-/// The prior: outputs are log-normal around this many tokens, and wide. It is
-/// longer than most, so that a cold start admits carefully.
+/// Median of the prior, a wide log-normal distribution of output lengths. It is
+/// above the median of most workloads, so that admission is cautious until
+/// lengths are learnt.
 constexpr double PriorMedian = 250;
 constexpr double PriorSigma = 1.3;
 constexpr double MinHazard = 1e-4;
--- a/src/agent/lifecycle.cc
+++ b/src/agent/lifecycle.cc
@@ -13,8 +13,8 @@
 template <typename Source, typename Event, typename Target>
 using Row = front::Row<Source, Event, Target, front::none, front::none>;
 
-/// What both machines share: an event that the table does not have is no
-/// error of the library's, `apply` tells the caller.
+/// Base of both machines. Replaces Boost.MSM's assertion on an event without a
+/// transition: `apply` returns false instead.
 template <typename Derived>
 struct NonAssertingMachine : front::state_machine_def<Derived> {
   template <typename Machine, typename Event>
@@ -40,17 +40,18 @@
 
 struct Definition : NonAssertingMachine<Definition> {
   using initial_state = Waiting; // NOLINT
-  // The order in which states first appear gives their numbers, which match
-  // GenerationState.
+  // Boost.MSM numbers states in the order of their first appearance here; the
+  // numbers must match GenerationState.
   struct transition_table // NOLINT
       : mpl::vector<
             Row<Waiting, Submit, Submitted>, Row<Submitted, Token, Streaming>,
             Row<Streaming, Yield, Yielding>, Row<Yielding, Release, Yielded>,
             Row<Yielded, Submit, Submitted>,
-            // The engine preempted it before or after a token.
+            // The engine preempted it before or after its first token.
             Row<Submitted, Release, Yielded>, Row<Streaming, Release, Yielded>,
             Row<Streaming, Token, Streaming>,
-            // Tokens and the end can be on their way already.
+            // Tokens and the end can be in transit when the yield is
+            // requested.
             Row<Yielding, Token, Yielding>, Row<Submitted, Finish, Finished>,
             Row<Streaming, Finish, Finished>, Row<Yielding, Finish, Finished>,
             Row<Waiting, Fail, Failed>, Row<Submitted, Fail, Failed>,
@@ -80,7 +81,7 @@
       : mpl::vector<Row<Starting, Ready, Serving>,
                     Row<Starting, Leave, Leaving>, Row<Serving, Leave, Leaving>,
                     Row<Leaving, Drain, Drained>,
-                    // A later bundle no longer drains it.
+                    // A later bundle no longer marks the server as draining.
                     Row<Leaving, CancelLeave, Serving>,
                     Row<Drained, CancelLeave, Serving>> {};
 };
--- a/src/agent/main.cc
+++ b/src/agent/main.cc
@@ -1,4 +1,4 @@
-// drumlanding-agent: the only gate to the backend server beside it.
+// drumlanding-agent: schedules and forwards all requests to one backend server.
 #include "shell.h"
 
 #include <gflags/gflags.h>
@@ -9,14 +9,14 @@
 DEFINE_string(admin_listen, "",
               "[network] IP:port of /metrics, /healthz and /readyz");
 DEFINE_int32(reclaim_notice_ms, 0,
-             "[process] milliseconds from SIGTERM until the VM vanishes; "
-             "0 when it waits until all work is done");
+             "[process] milliseconds from SIGTERM until the VM is reclaimed; "
+             "0 waits until all work is done");
 DEFINE_double(risk_factor, 1.5,
-              "[decisions] deviations of memory kept free at a stall weight "
-              "of 1, 0 to 5");
+              "[decisions] standard deviations of KV cache use kept free at a "
+              "stall weight of 1, 0 to 5");
 DEFINE_int32(step_target_ms, 60,
-             "[decisions] milliseconds that prefill may stretch a step to at "
-             "a gap weight of 1; 0 for no limit");
+             "[decisions] maximum milliseconds of an engine step with prefill "
+             "at a gap weight of 1; 0 for no limit");
 
 namespace {
 
@@ -29,8 +29,8 @@
 base::Result<agent::ShellSettings> readAgentSettings(int argc, char **argv) {
   agent::ShellSettings settings;
   const auto daemon = daemon::readDaemonSettings(
-      argc, argv, "drumlanding-agent: the only gate to one backend server",
-      Flags);
+      argc, argv,
+      "drumlanding-agent: serves all requests to one backend server", Flags);
   if (!ok(daemon))
     return error(daemon);
   settings.Daemon = value(daemon);
@@ -74,6 +74,6 @@
     base::exitOnBadSettings(error(shell));
   runtime.onStop([&] { value(shell)->leave(); });
   runtime.run();
-  // Streams that are still open hold references into the shell.
+  // Exit without destructors: open streams still hold references to the shell.
   std::_Exit(0);
 }
--- a/src/agent/scheduler.cc
+++ b/src/agent/scheduler.cc
@@ -8,26 +8,29 @@
 namespace drumlanding::agent {
 namespace {
 
-/// A forecast is made anew after this many tokens.
+/// A generation's forecast is recomputed after this many tokens.
 constexpr std::uint32_t TokensPerForecast = 16;
-/// Room kept for the tokens that are on their way while a yield takes effect.
+/// Engine steps until a yield takes effect. Capacity for the tokens produced in
+/// this time stays reserved.
 constexpr std::uint32_t YieldLatencySteps = 3;
-/// A generation comes back when it leaves this part of the memory free.
+/// A generation is resumed only if this fraction of the capacity stays free.
 constexpr double ResumeHeadroomFraction = 0.02;
-/// A prompt token costs this part of a generated one, in an organisation's use.
+/// Cost of a prompt token in an organisation's attained service, relative to a
+/// generated token.
 constexpr double PromptTokenCost = 0.2;
-/// A step of priority weighs as much as this factor of the share. Priorities
-/// are weights and not classes: the last one gets less, but never nothing.
+/// Each step of priority multiplies the share by this factor. Priorities are
+/// weights, not strict classes, so that the lowest one is never starved.
 constexpr double PriorityFactor = 1.5;
 constexpr int NeutralPriority = 5;
-/// An organisation is above its share with this many times its even part.
+/// An organisation exceeds its fair share if it uses more than this multiple of
+/// its proportional part of the capacity.
 constexpr double FairShareTolerance = 1.5;
-/// New observations weigh this much in the learnt costs.
+/// Weight of a new observation in the moving averages.
 constexpr double LearningRate = 0.05;
 constexpr base::milliseconds MinStepTarget{40};
-/// A yield should free this part of the memory.
+/// Fraction of the capacity that a yield should free.
 constexpr double MinFreedFraction = 0.025;
-/// The risk that yields have added fades by e in this time.
+/// Time in which the risk added by yields decays to 1/e.
 constexpr double RiskDecaySeconds = 120;
 constexpr double MaxRiskBoost = 3;
 
@@ -83,7 +86,8 @@
 }
 
 void Scheduler::activate(Tenant &tenant) {
-  // An organisation that was away gets no credit for the time.
+  // An organisation gains no credit for the time in which it had no
+  // generations.
   if (tenant.Active == 0)
     tenant.Attained = std::max(tenant.Attained, minAttained());
   ++tenant.Active;
@@ -105,7 +109,7 @@
   const auto it = Tenants.find(spec.Organisation);
   const double ahead =
       it == Tenants.end() ? 0 : static_cast<double>(it->second.Queue.size());
-  // Fair queueing serves the organisations with a queue in turn.
+  // Fair queueing serves all organisations with waiting generations in turn.
   double queues = 1;
   for (const auto &[name, tenant] : Tenants)
     if (!tenant.Queue.empty() && name != spec.Organisation)
@@ -128,7 +132,8 @@
   Tenant &tenant = Tenants[job.Spec.Organisation];
   tenant.UsedTokens += job.tokens();
   tenant.Attained += PromptTokenCost * job.Spec.PromptTokens / tenant.Share;
-  // A single one may be larger than the memory: nothing else could run it.
+  // A generation that runs alone may exceed the capacity: there is no other way
+  // to run it.
   base::invariant(base::Invariant::MemoryWithinLimit,
                   Options.Rule == AdmissionRule::Greedy || OnEngine == 1 ||
                       UsedTokens <= Options.CapacityTokens,
@@ -150,7 +155,7 @@
   addForecast(job, -1);
   if (OnEngine > 0)
     return;
-  // Nothing is left: drop what rounding has left in the sums.
+  // The engine is empty: reset the sums to remove rounding errors.
   MeanSum = {};
   VarianceSum = {};
   StallWeightSum = 0;
@@ -188,7 +193,7 @@
     return;
   Job &job = it->second;
   removeFromEngine(job);
-  // The engine can preempt one by itself; that counts as a yield too.
+  // A preemption by the engine counts as a yield as well.
   if (job.State != JobState::Yielding)
     ++job.Yields;
   job.State = JobState::Yielded;
@@ -293,7 +298,8 @@
     return (OnEngine + 1ULL) * (Options.ReserveTokens) <=
                Options.CapacityTokens &&
            fitsNow(job);
-  // One that fits nowhere near still runs alone.
+  // An empty engine admits any generation, however large: it can only run
+  // alone.
   if (OnEngine == 0)
     return true;
   const std::uint64_t limit = capacityLimit(job);
@@ -316,8 +322,8 @@
   for (auto &[name, tenant] : Tenants) {
     if (tenant.Queue.empty())
       continue;
-    // One that has just come starts level with the least; it goes first, since
-    // it has nothing on the engine yet.
+    // A newly active organisation starts with the minimum attained service.
+    // Comparing used tokens next puts it first, as it has none on the engine.
     const auto rank = [](const Tenant &t) {
       return std::pair(t.Attained, t.UsedTokens);
     };
@@ -328,9 +334,11 @@
 }
 
 Scheduler::Job *Scheduler::selectVictim() {
-  // The fewest yields so far go first: this bounds them for each generation.
-  // Then the lowest priority, then the cheapest to bring back among those
-  // that make enough room: several small ones would all have to wait.
+  // Prefer the generation with the fewest yields, which bounds the yields of
+  // each one, then the lowest priority, then the lowest stall weight. Among
+  // equals, prefer the smallest one that frees enough capacity, because it is
+  // the cheapest to resume; yielding several small ones would make all of them
+  // wait.
   Job *best = nullptr;
   const double minFreed =
       static_cast<double>(Options.CapacityTokens) * MinFreedFraction;
@@ -357,7 +365,8 @@
   const std::uint64_t growth = YieldLatencySteps * OnEngine;
   while (UsedTokens - YieldingTokens + growth > Options.CapacityTokens) {
     Job *job = selectVictim();
-    // The last one keeps the engine: yielding it would help nobody.
+    // The only generation on the engine does not yield: no other could use the
+    // capacity.
     if (!job || OnEngine < 2)
       return;
     yield(now, *job, out);
@@ -389,8 +398,8 @@
                               Options.CapacityTokens;
 }
 
-/// Bounds the wait of what had to yield: others that have yielded less make
-/// room for it.
+/// Bounds the wait of yielded generations: running ones with fewer yields yield
+/// to the one that has waited longest.
 void Scheduler::yieldForOldest(base::Instant now, Decisions &out) {
   if (Yielded.empty() || YieldingTokens > 0)
     return;
@@ -439,7 +448,7 @@
   Decisions out;
   decayRisk(now);
   yieldForCapacity(now, out);
-  // What had to yield comes back before any new work.
+  // Yielded generations resume before new ones are admitted.
   if (!resume(now, out))
     yieldForOldest(now, out);
   else if (YieldingTokens == 0)
--- a/src/agent/shell.cc
+++ b/src/agent/shell.cc
@@ -21,20 +21,23 @@
 using daemon::sleepFor;
 using Json = nlohmann::json;
 
-/// Requests that the agent can hold at a time; each entry has one long poll.
+/// Maximum number of requests pending at a time. Each entry occupies one with
+/// its long poll.
 constexpr int ControlContexts = 256;
 constexpr milliseconds TickInterval{5};
 constexpr milliseconds IdleTickInterval{20};
 constexpr milliseconds ObserveInterval{500};
 constexpr milliseconds ObserveTimeout{2'000};
-/// A backend server that misses this many looks is taken for dead.
+/// Number of consecutive failed health checks after which the backend server
+/// counts as failed.
 constexpr int MaxMissedObservations = 3;
 constexpr milliseconds StreamIdleTimeout{30'000};
 constexpr milliseconds StopTimeout{2'000};
 constexpr int StopAttempts = 3;
 constexpr milliseconds CallTimeout{7'000};
 constexpr milliseconds LoadTimeout{60'000};
-/// After the last answer, entries get this long to fetch it.
+/// Time after the last answer in which entries can still fetch it before the
+/// process stops.
 constexpr milliseconds DrainLinger{1'500};
 
 std::string requestBody(const StartOnEngine &c) {
@@ -245,7 +248,7 @@
       hasWork = AgentCore->hasWork();
     }
     if (shouldStop()) {
-      base::Log("agent.drain").info("drained: stopping");
+      base::Log("agent.drain").info("drained: no open work; stopping");
       Runtime.finish();
       co_return;
     }
@@ -285,7 +288,10 @@
     dispatch(StepObserved{nanos(step + token * Sample), Sample});
     observed.IsAlive = true;
   } catch (const Json::exception &e) {
-    base::Log("agent.engine").warn("malformed load report: {}", e.what());
+    base::Log("agent.engine")
+        .warn("malformed /v1/load answer of the engine; counted as a failed "
+              "health check: {}",
+              e.what());
   }
   co_return observed;
 }
@@ -301,7 +307,7 @@
 
 asio::awaitable<void> Shell::observeLoop() {
   const bool isEngine = Settings.Kind == bundle::ServiceKind::Engine;
-  // Streams of an earlier incarnation would run on unseen.
+  // Stop the streams of an earlier incarnation, which no process follows.
   if (isEngine)
     co_await stopStream("/v1/streams/stop-all");
   int misses = 0;
--- a/src/agent/shell.h
+++ b/src/agent/shell.h
@@ -1,9 +1,9 @@
-/// Agent shell: turns sockets and timers into the core's events and carries
-/// out its commands.
+/// Agent shell: converts messages and timers into events of the core and
+/// executes its commands.
 ///
-/// Lock order: CoreLock before any lock of a link. Commands are carried out
-/// while CoreLock is held, so that they happen in the order decided; none of
-/// them blocks.
+/// Lock order: CoreLock before any lock of a link. Commands are executed while
+/// CoreLock is held, so that they take effect in the order of the decisions;
+/// none of them blocks.
 #pragma once
 
 #include "drumlanding/agent/core.h"
@@ -29,18 +29,19 @@
   base::Endpoint Backend;
   bundle::ServiceKind Kind = bundle::ServiceKind::Engine;
   base::Endpoint AdminListen;
-  /// Time from SIGTERM until the VM vanishes; zero when it waits for us.
+  /// Time from SIGTERM until the VM is reclaimed; zero if the VM waits for the
+  /// process to finish.
   base::milliseconds ReclaimNotice{0};
   SchedulerOptions Scheduling;
 };
 
 class Shell {
 public:
-  /// Makes the shell and opens its ports.
+  /// Creates the shell and opens its ports.
   static base::Result<std::unique_ptr<Shell>> start(daemon::Runtime &runtime,
                                                     ShellSettings settings);
 
-  /// Begins a planned stop: ends the runtime once nothing is in flight.
+  /// Begins a planned stop: stops the runtime once no work is open.
   void leave();
 
 private:
@@ -75,7 +76,7 @@
   std::mutex CoreLock;
   std::unordered_map<ReplyId, wire::Responder> Responders;
   ReplyId NextReply = 1;
-  /// Stops of the streams that are on the engine, by request id.
+  /// Stop flags of the streams on the engine, by request id.
   std::unordered_map<std::string, std::shared_ptr<std::atomic<bool>>> Streams;
   std::unique_ptr<wire::Server> Control;
   std::unique_ptr<http::Server> Admin;
--- a/src/wire/link.cc
+++ b/src/wire/link.cc
@@ -82,12 +82,15 @@
       macOf(key, envelope.nonce(), isReply, envelope.payload());
   if (envelope.mac().size() != MacBytes ||
       sodium_memcmp(mac.data(), envelope.mac().data(), MacBytes) != 0)
-    return Error{ErrorCode::Forbidden, "envelope", "wrong key"};
+    return Error{
+        ErrorCode::Forbidden, "envelope",
+        "authentication code does not match: wrong key or altered message"};
   return OpenedEnvelope{envelope.nonce(),
                         std::move(*envelope.mutable_payload())};
 }
 
-/// One request that a server holds at a time: receive, handle, send.
+/// Handles one request at a time: receives it, passes it to the handler and
+/// sends the reply.
 struct RequestSlot {
   nng_ctx Context = NNG_CTX_INITIALIZER;
   nng_aio *Aio = nullptr;
@@ -100,7 +103,7 @@
   ControlKey Key;
   RequestHandler Handler;
   LinkCounters Counters;
-  /// Guards Closed and every start of an operation; never held in Handler.
+  /// Guards Closed and the start of every operation; not held during Handler.
   std::mutex Lock;
   bool Closed = false;
   std::vector<std::unique_ptr<RequestSlot>> Slots;
@@ -116,7 +119,8 @@
 
 namespace {
 
-/// Answers once; an unused one frees its slot for the next request.
+/// Sends at most one reply. If destroyed without a reply, makes its slot
+/// receive the next request.
 class ReplyHandle {
 public:
   ReplyHandle(std::weak_ptr<Server::State> owner, RequestSlot &slot,
@@ -237,7 +241,7 @@
 
 const LinkCounters &Server::counters() const { return S->Counters; }
 
-/// One request on its way; kept and used again.
+/// A pending request; reused for later ones.
 struct ClientCall {
   nng_ctx Context = NNG_CTX_INITIALIZER;
   nng_aio *Aio = nullptr;
@@ -254,7 +258,7 @@
   base::Endpoint Peer;
   std::shared_ptr<LinkCounters> Counters;
   base::SystemClock Clock;
-  /// Guards Closed, Calls and Free; never held while a handler runs.
+  /// Guards Closed, Calls and IdleCalls; not held while a handler runs.
   std::mutex Lock;
   bool Closed = false;
   std::vector<std::unique_ptr<ClientCall>> Calls;
@@ -320,7 +324,7 @@
       !reply.ParseFromString(value(opened).Payload)) {
     ++Counters->Rejected;
     finish(call, Error{ErrorCode::TimedOut, base::toString(Peer),
-                       "the reply is not authentic"});
+                       "reply rejected: wrong key, nonce or content"});
     return;
   }
   finish(call, std::move(reply));
@@ -340,7 +344,7 @@
   nng_socket_set_size(state->Socket, NNG_OPT_RECVMAXSZ, MaxMessageBytes);
   nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMINT, MinReconnectMs);
   nng_socket_set_ms(state->Socket, NNG_OPT_RECONNMAXT, MaxReconnectMs);
-  // Repeats are decided by the cores, never by the transport.
+  // Retries are decided by the cores, so the transport must not resend.
   nng_socket_set_ms(state->Socket, NNG_OPT_REQ_RESENDTIME,
                     NNG_DURATION_INFINITE);
   if (const int code = nng_dial(state->Socket, urlOf(endpoint).c_str(), nullptr,
--- a/src/wire/request-id.cc
+++ b/src/wire/request-id.cc
@@ -18,7 +18,8 @@
 }
 
 base::Result<RequestId> parseRequestId(std::string_view text) {
-  const base::Error bad = base::invalid("id", "is not the id of a generation");
+  const base::Error bad =
+      base::invalid("id", "is not a generation id (server~incarnation~nonce)");
   const auto first = text.find('~');
   const auto second = text.rfind('~');
   if (first == std::string_view::npos ||
