--- a/include/drumlanding/agent/core.h
+++ b/include/drumlanding/agent/core.h
@@ -145,10 +145,10 @@
   std::uint32_t MaxCalls = 64;
   Mechanisms Enabled;
   /// Called with one line of text for each decision; may be empty.
-  std::function<void(std::string_view part, std::string_view sentence)>
+  std::function<void(std::string_view component, std::string_view message)>
       LogDecision;
   /// Called to increment a metric; may be empty.
-  std::function<void(std::string_view metric, double by)> IncrementMetric;
+  std::function<void(std::string_view metric, double amount)> IncrementMetric;
 };
 
 class CallTable;
@@ -190,7 +190,8 @@
   wire::Reply emptyReply() const;
   void reply(ReplyId id, wire::Reply message);
   void refuse(ReplyId id, const base::Refusal &refusal);
-  void logDecision(std::string_view part, const std::string &sentence) const;
+  void logDecision(std::string_view component,
+                   const std::string &message) const;
 
   CoreOptions Options;
   plan::DocumentStore Documents;
--- a/src/agent/core.cc
+++ b/src/agent/core.cc
@@ -51,13 +51,13 @@
                        std::string_view key) {
   const std::uint64_t keyHash = base::hash64(key);
   std::string owner;
-  std::uint64_t best = 0;
+  std::uint64_t highestRank = 0;
   for (const std::string &server : servers) {
     const std::uint64_t rank = base::mix64(keyHash, base::hash64(server));
-    if (!owner.empty() && rank <= best)
+    if (!owner.empty() && rank <= highestRank)
       continue;
     owner = server;
-    best = rank;
+    highestRank = rank;
   }
   return owner;
 }
@@ -70,10 +70,10 @@
 
 Core::~Core() = default;
 
-void Core::logDecision(std::string_view part,
-                       const std::string &sentence) const {
+void Core::logDecision(std::string_view component,
+                       const std::string &message) const {
   if (Options.LogDecision)
-    Options.LogDecision(part, sentence);
+    Options.LogDecision(component, message);
 }
 
 ServerState Core::serverState() const { return Lifecycle.state(); }
@@ -297,16 +297,17 @@
 }
 
 void Core::updateServerState() {
-  const bool leave = IsLeaveRequested || IsListedLeaving || IsDrainingInBundle;
+  const bool shouldLeave =
+      IsLeaveRequested || IsListedLeaving || IsDrainingInBundle;
   const ServerState before = Lifecycle.state();
   if (before == ServerState::Starting && Documents.bundle() && ServerAlive)
     Lifecycle.apply(ServerEvent::Ready);
-  const ServerState now = Lifecycle.state();
+  const ServerState current = Lifecycle.state();
   const bool isLeaving =
-      now == ServerState::Leaving || now == ServerState::Drained;
-  if (leave && !isLeaving)
+      current == ServerState::Leaving || current == ServerState::Drained;
+  if (shouldLeave && !isLeaving)
     Lifecycle.apply(ServerEvent::Leave);
-  if (!leave && isLeaving)
+  if (!shouldLeave && isLeaving)
     Lifecycle.apply(ServerEvent::CancelLeave);
   if (Lifecycle.state() == ServerState::Leaving && !hasWork())
     Lifecycle.apply(ServerEvent::Drain);
--- a/src/agent/generation-table.cc
+++ b/src/agent/generation-table.cc
@@ -47,9 +47,9 @@
   reply(id, wire::refusedReply(refusal));
 }
 
-void GenerationTable::logDecision(const std::string &sentence) const {
+void GenerationTable::logDecision(const std::string &message) const {
   if (Options.LogDecision)
-    Options.LogDecision("agent.engine", sentence);
+    Options.LogDecision("agent.engine", message);
 }
 
 void GenerationTable::transition(Generation &g, GenerationEvent event,
--- a/src/agent/generation-table.h
+++ b/src/agent/generation-table.h
@@ -85,7 +85,7 @@
   void schedule(base::Now now);
   void reply(ReplyId id, wire::Reply message);
   void refuse(ReplyId id, const base::Refusal &refusal);
-  void logDecision(const std::string &sentence) const;
+  void logDecision(const std::string &message) const;
 
   const CoreOptions &Options;
   Commands &Out;
--- a/src/agent/lengths.cc
+++ b/src/agent/lengths.cc
@@ -12,7 +12,8 @@
 /// Weight of the parent estimate (all classes, or the prior) in the hazard of a
 /// bucket, as a number of observations.
 constexpr double ParentWeight = 25;
-/// Number of newer observations after which an observation has decayed to 1/e.
+/// Number of newer observations in the same bucket after which an observation
+/// has decayed to 1/e.
 constexpr double DecayObservations = 300;
 /// A survival curve is recomputed after this many observations.
 constexpr int ChangesPerRebuild = 24;
@@ -57,9 +58,9 @@
 }
 
 void LengthModel::addObservation(Curve &curve, int bucket, bool ended) {
-  const double keep = 1 - 1 / DecayObservations;
-  curve.Exposure[bucket] = curve.Exposure[bucket] * keep + 1;
-  curve.Ends[bucket] = curve.Ends[bucket] * keep + (ended ? 1 : 0);
+  const double decay = 1 - 1 / DecayObservations;
+  curve.Exposure[bucket] = curve.Exposure[bucket] * decay + 1;
+  curve.Ends[bucket] = curve.Ends[bucket] * decay + (ended ? 1 : 0);
   ++curve.ChangesSinceRebuild;
 }
 
@@ -110,11 +111,11 @@
 double LengthModel::logSurvivalAt(const Curve &curve, double length) const {
   if (length <= 1)
     return 0;
-  const double at = std::log2(length) * BucketsPerOctave;
-  const int b = std::min(static_cast<int>(at), Buckets - 1);
+  const double position = std::log2(length) * BucketsPerOctave;
+  const int b = std::min(static_cast<int>(position), Buckets - 1);
   const double before = b == 0 ? 0 : curve.LogSurvival[b - 1];
-  const double part = std::min(at - b, 1.0);
-  return before + (curve.LogSurvival[b] - before) * part;
+  const double fraction = std::min(position - b, 1.0);
+  return before + (curve.LogSurvival[b] - before) * fraction;
 }
 
 const LengthModel::Curve &LengthModel::curveOf(LengthClass cls) const {
@@ -125,23 +126,24 @@
 double LengthModel::survival(LengthClass cls, std::uint32_t produced,
                              std::uint32_t additional) const {
   const Curve &curve = curveOf(cls);
-  const double now = logSurvivalAt(curve, produced);
-  const double then = logSurvivalAt(curve, produced + additional);
-  return std::exp(then - now);
+  const double logCurrent = logSurvivalAt(curve, produced);
+  const double logFuture = logSurvivalAt(curve, produced + additional);
+  return std::exp(logFuture - logCurrent);
 }
 
 double LengthModel::expectedRemaining(LengthClass cls, std::uint32_t produced,
                                       std::uint32_t limit) const {
   const Curve &curve = curveOf(cls);
-  const double now = logSurvivalAt(curve, produced);
+  const double logCurrent = logSurvivalAt(curve, produced);
   double sum = 0;
   double from = produced;
   for (int b = bucketOf(produced); b < Buckets && from < limit; ++b) {
     const double to = std::min<double>(bucketStart(b + 1), limit);
     if (to <= from)
       continue;
-    const double alive = std::exp(logSurvivalAt(curve, (from + to) / 2) - now);
-    sum += alive * (to - from);
+    const double survivalProbability =
+        std::exp(logSurvivalAt(curve, (from + to) / 2) - logCurrent);
+    sum += survivalProbability * (to - from);
     from = to;
   }
   return sum;
--- a/src/agent/scheduler.cc
+++ b/src/agent/scheduler.cc
@@ -259,9 +259,10 @@
   for (const auto &[name, other] : Tenants)
     if (other.Active > 0)
       shares += other.Share;
-  const double even = static_cast<double>(Options.CapacityTokens) *
-                      tenant.Share / std::max(shares, tenant.Share);
-  return static_cast<double>(tenant.UsedTokens) > FairShareTolerance * even;
+  const double fairShare = static_cast<double>(Options.CapacityTokens) *
+                           tenant.Share / std::max(shares, tenant.Share);
+  return static_cast<double>(tenant.UsedTokens) >
+         FairShareTolerance * fairShare;
 }
 
 std::uint64_t Scheduler::capacityLimit(const Job &job) const {
@@ -391,9 +392,9 @@
 }
 
 bool Scheduler::canResume(const Job &job) const {
-  const auto room = static_cast<std::uint64_t>(
+  const auto headroom = static_cast<std::uint64_t>(
       static_cast<double>(Options.CapacityTokens) * ResumeHeadroomFraction);
-  return OnEngine == 0 || UsedTokens + job.tokens() + room +
+  return OnEngine == 0 || UsedTokens + job.tokens() + headroom +
                                   YieldLatencySteps * (OnEngine + 1ULL) <=
                               Options.CapacityTokens;
 }
--- a/src/agent/shell.cc
+++ b/src/agent/shell.cc
@@ -79,11 +79,12 @@
   options.StartedAt = s.Clock.now().Wall;
   options.Trusted = s.Settings.Daemon.Trusted;
   options.Scheduling = s.Settings.Scheduling;
-  options.LogDecision = [](std::string_view part, std::string_view sentence) {
-    base::Log(std::string(part)).info("{}", sentence);
+  options.LogDecision = [](std::string_view component,
+                           std::string_view message) {
+    base::Log(std::string(component)).info("{}", message);
   };
-  options.IncrementMetric = [&s](std::string_view metric, double by) {
-    s.Metrics.count(metric, {}, by);
+  options.IncrementMetric = [&s](std::string_view metric, double amount) {
+    s.Metrics.count(metric, {}, amount);
   };
   s.AgentCore = std::make_unique<Core>(std::move(options));
   auto control = wire::Server::listen(
--- a/test/fault-matrix-test.cc
+++ b/test/fault-matrix-test.cc
@@ -1,6 +1,6 @@
-// The fault matrix: every fault at every step of a request, and pairs of
-// faults at the dangerous steps. Prints how many cells ran and names those
-// that are not covered.
+// Fault matrix: injects every fault at every step of a request, and pairs of
+// faults at critical steps. Prints the number of cells covered and the names of
+// the others.
 #include "simulated-cluster.h"
 
 #include <cstdio>
@@ -14,7 +14,7 @@
 constexpr int Steps = static_cast<int>(Step::Last) + 1;
 constexpr int Faults = static_cast<int>(Fault::Last) + 1;
 
-/// Requests of every kind, so that every step is reached.
+/// Sends requests of every kind, so that every step occurs.
 void scenario(SimulatedCluster &cluster) {
   cluster.requestGeneration(0);
   cluster.requestGeneration(1);
@@ -35,14 +35,14 @@
   cluster.settle();
 }
 
-/// A cell of the matrix and how it went.
+/// The result of one cell of the matrix.
 struct CellResult {
   bool WasInjected = false;
   std::string Violations;
   std::size_t CompleteAnswers = 0;
 };
 
-/// The second fault of a pair; none for a single one.
+/// The second fault of a pair, injected `After` the first.
 struct SecondFault {
   Fault Kind;
   base::Duration After;
@@ -53,10 +53,10 @@
   SimulatedClusterOptions options;
   options.Seed = seed;
   SimulatedCluster cluster(options);
-  // A lost reply makes the entry ask: only then are these steps reached.
+  // An entry sends Revoke only after a reply was lost.
   if (step == Step::RevokeRequest || step == Step::RevokeReply)
     cluster.inject(Fault::CutToEntry, 0, 0);
-  // A fresh entry fetches what its peers have.
+  // A restarted entry that cannot read the store fetches documents from peers.
   if (step == Step::FetchRequest || step == Step::FetchReply) {
     cluster.inject(Fault::KvOutage, 0, 0);
     cluster.inject(Fault::KillEntry, 0, 0);
@@ -69,10 +69,10 @@
                     cluster.completeAnswers()};
   for (std::size_t i = 0; i < cluster.agents(); ++i)
     if (cluster.bundleOfAgent(i) != 2)
-      result.Violations += "an agent has not got the bundle; ";
+      result.Violations += "an agent does not have bundle version 2; ";
   for (std::size_t i = 0; i < 2; ++i)
     if (cluster.bundleOfEntry(i) != 2)
-      result.Violations += "an entry has not got the bundle; ";
+      result.Violations += "an entry does not have bundle version 2; ";
   return result;
 }
 
@@ -80,7 +80,7 @@
   SimulatedCluster cluster({});
   scenario(cluster);
   EXPECT_EQ(cluster.check(), "");
-  // All but the one generation that its caller cancels.
+  // Every request but the one generation that its caller cancels.
   EXPECT_EQ(cluster.completeAnswers() + 1, cluster.requests());
 }
 
@@ -104,19 +104,20 @@
           runs += r.WasInjected ? 1 : 0;
           wasInjected = wasInjected || r.WasInjected;
           fewestComplete = std::min(fewestComplete, r.CompleteAnswers);
-          EXPECT_EQ(r.Violations, "") << toString(step) << " x "
-                                      << toString(fault) << " at time " << nth;
+          EXPECT_EQ(r.Violations, "")
+              << toString(step) << " x " << toString(fault) << " at occurrence "
+              << nth;
         }
       cells += wasInjected ? 1 : 0;
       if (!wasInjected)
         uncovered += std::string(toString(step)) + " x " +
-                     std::string(toString(fault)) + ": step not reached\n";
+                     std::string(toString(fault)) + ": step did not occur\n";
     }
-  std::printf("fault matrix: %d of %d cells covered by %d runs; fewest whole "
-              "answers %zu\n%s",
+  std::printf("fault matrix: %d of %d cells covered by %d runs; fewest "
+              "complete answers %zu\n%s",
               cells, Steps * Faults, runs, fewestComplete, uncovered.c_str());
   EXPECT_EQ(uncovered, "");
-  // Refusing everything would keep the promises too.
+  // Guards against a system that keeps every guarantee by refusing everything.
   EXPECT_GE(fewestComplete, 5U);
 }
 
@@ -142,7 +143,7 @@
             << toString(step) << " x " << toString(static_cast<Fault>(first))
             << " then " << toString(static_cast<Fault>(second));
       }
-  std::printf("fault matrix: %d of %d pairs struck\n", injected, runs);
+  std::printf("fault matrix: %d of %d pairs injected\n", injected, runs);
 }
 
 } // namespace
--- a/test/link-test.cc
+++ b/test/link-test.cc
@@ -19,13 +19,13 @@
 TEST(Envelope, RefusesWrongKeyWrongDirectionAndTampering) {
   const std::string sealed = seal(Key, 42, false, "hello");
   EXPECT_FALSE(ok(open({std::string(32, 'x')}, false, sealed)));
-  // A request cannot pass for a reply.
+  // A request must not be accepted as a reply.
   EXPECT_FALSE(ok(open(Key, true, sealed)));
   for (std::size_t i = 0; i < sealed.size(); ++i) {
     std::string changed = sealed;
     changed[i] = static_cast<char>(changed[i] ^ 1);
     const auto opened = open(Key, false, changed);
-    // Where the change left no trace in what was read, nothing was changed.
+    // A change that the parser ignores may open, with the payload intact.
     if (ok(opened)) {
       EXPECT_EQ(base::value(opened).Payload, "hello");
     }
@@ -41,7 +41,7 @@
       bytes += static_cast<char>(random.below(256));
     EXPECT_FALSE(ok(open(Key, false, bytes)));
     Request request;
-    request.ParseFromString(bytes); // must not crash
+    request.ParseFromString(bytes); // Must not crash.
   }
   const std::string sealed = seal(Key, 1, false, std::string(300, 'x'));
   for (std::size_t size = 0; size < sealed.size(); ++size)
--- a/test/random-test.cc
+++ b/test/random-test.cc
@@ -1,8 +1,8 @@
-// Randomised runs of the real cores: any mix of requests and faults, shrunk by
-// rapidcheck to the shortest one that breaks a promise.
+// Property test of the real cores: random sequences of requests and faults.
+// RapidCheck shrinks a failing sequence to a minimal one.
 //
-// DRUMLANDING_RANDOM_RUNS sets how many (2,000 in CI); RC_PARAMS overrides the
-// seed, which is printed.
+// DRUMLANDING_RANDOM_RUNS sets the number of runs (2,000 in CI). RC_PARAMS
+// overrides the parameters, including the seed, which are printed.
 #include "simulated-cluster.h"
 
 #include <cstdio>
@@ -35,8 +35,8 @@
 };
 
 std::ostream &operator<<(std::ostream &out, const Action &a) {
-  constexpr const char *Names[] = {"generation", "call", "repeated call",
-                                   "cancel",     "drop", "strike"};
+  constexpr const char *Names[] = {"generation", "call",       "repeated call",
+                                   "cancel",     "disconnect", "inject"};
   out << Names[static_cast<int>(a.Kind)];
   if (a.Kind == ActionKind::Inject)
     out << " " << toString(a.TheFault);
@@ -52,7 +52,8 @@
                                             {1, ActionKind::Cancel},
                                             {2, ActionKind::Disconnect},
                                             {4, ActionKind::Inject}});
-  // Faults of a single message come from the lossy network instead.
+  // Message faults are not in the list: LossRate and DuplicationRate inject
+  // them.
   const auto fault = rc::gen::element(
       Fault::KillEntry, Fault::RestartAgent, Fault::KillEngine,
       Fault::FreezeEntry, Fault::FreezeAgent, Fault::CutToAgent,
@@ -113,7 +114,7 @@
     completeCount += cluster.completeAnswers();
     RC_ASSERT(cluster.check() == std::string());
   });
-  std::printf("random runs: %zu requests, %zu whole answers\n", requests,
+  std::printf("random runs: %zu requests, %zu complete answers\n", requests,
               completeCount);
   EXPECT_TRUE(held);
   EXPECT_GT(completeCount * 2, requests);
--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -1,4 +1,5 @@
-// The rules of the scheduler and router, each with the failure it is for.
+// Tests of the length model, the scheduler and the router, and of complete
+// policies under simulated load.
 #include "drumlanding/agent/scheduler.h"
 #include "drumlanding/entry/router.h"
 #include "policy-run.h"
@@ -37,7 +38,8 @@
 }
 
 TEST(Lengths, RunningGenerationsCountBeforeTheyEnd) {
-  // All that ended were short; but many are running far beyond.
+  // If only ended generations counted, the estimate would stay at 50 tokens
+  // while the running ones are far longer.
   LengthModel lengths;
   const LengthClass cls = lengthClass("o", "m");
   for (int i = 0; i < 300; ++i) {
@@ -74,7 +76,7 @@
     started.push_back(id);
   ASSERT_EQ(started.size(), 2U);
   s.recordTokens(now, started.at(1), 1);
-  // Both go on until the memory is full.
+  // Both produce tokens until the KV cache is full.
   std::vector<JobId> yielded;
   for (int i = 0; i < 2'000 && yielded.empty(); ++i) {
     s.recordTokens(now, 1, 1);
@@ -86,7 +88,7 @@
   const JobId victim = yielded[0];
   s.recordYielded(now, victim);
   EXPECT_TRUE(s.decide(now).Start.empty());
-  // What yielded goes before new work.
+  // The yielded generation resumes before a new one starts.
   s.add(now, 3, spec("c"));
   s.remove(now, victim == 1 ? 2 : 1, true);
   const Decisions back = s.decide(now);
@@ -101,7 +103,8 @@
   const base::Instant now(1h);
   for (JobId id = 1; id <= 20; ++id)
     s.add(now, id, spec("a", 400));
-  // 0.1 ms a token above a step of 30 ms: one prompt of 400 at a time.
+  // With 0.1 ms per prefill token on top of a 30 ms step, one prompt of 400
+  // tokens (70 ms) already exceeds the target of 60 ms: one prefill at a time.
   const auto first = s.decide(now).Start;
   EXPECT_EQ(first.size(), 1U);
   EXPECT_TRUE(s.decide(now).Start.empty());
@@ -122,7 +125,8 @@
   s.add(now, 5'000, spec("small"));
   for (std::size_t i = 0; i < first.size() / 2; ++i)
     s.remove(now, first[i], true);
-  // The large one's jobs have faded from the forecast; the small one is next.
+  // Half of the large organisation's jobs have left the engine, so there is
+  // room again; the small organisation is served next.
   const auto next = s.decide(now).Start;
   ASSERT_FALSE(next.empty()) << s.load().UsedTokens;
   EXPECT_EQ(next[0], 5'000U);
@@ -156,7 +160,9 @@
     ++got[*at];
     ++views[*at].SentSince;
   }
-  // 40,000 tokens of room are 65 requests; then it is like the others.
+  // Server 3 has about 40,000 more free tokens than the others, enough for 65
+  // requests. A router that ignored the requests sent since the last report
+  // would send all of them there.
   EXPECT_LT(got[3], 130);
 }
 
@@ -173,7 +179,8 @@
   EXPECT_FALSE(router.choose(views, {5, 600}, now, random).has_value());
 }
 
-/// What the bench must show on every run, on a short one with fixed seeds.
+/// A short run of the benchmark with a fixed seed: the bounds must hold on
+/// every run.
 TEST(Policy, FewerPreemptionsAndShorterGapsThanGreedy) {
   for (auto lengths :
        {tools::LengthSource::Lernwerk, tools::LengthSource::Pwani}) {
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -23,7 +23,7 @@
 constexpr Duration StoreOutageDuration = 20s;
 constexpr Duration ResumeDelay = 150ms;
 constexpr Duration SettleDuration = 60s;
-/// A resume is tried this often before the caller takes it for lost.
+/// Number of resumes after which a caller gives up.
 constexpr int MaxResumes = 30;
 
 Step stepOf(const wire::Request &r) {
@@ -78,13 +78,14 @@
   return Names[static_cast<int>(f)];
 }
 
-/// A caller and what it was told.
+/// A simulated caller and the answers it received.
 struct SimulatedCluster::Caller {
   std::string Marker;
   std::string Credential = Credential1;
   bool IsCall = false;
   bool IsCancel = false;
-  /// Of a call: sent twice, so a "not run" speaks only for itself.
+  /// For a call that is sent twice: a NotRun answer then applies to one attempt
+  /// only, and the other may have run.
   bool IsRepeated = false;
   std::string Key;
   base::WallTime KeyTime{};
@@ -102,7 +103,7 @@
 
 struct SimulatedCluster::EntryNode {
   std::unique_ptr<entry::Core> Core;
-  /// Counts its lives: what was meant for an earlier one is dropped.
+  /// Incremented at every start. Events for an earlier instance are dropped.
   std::uint64_t Instance = 0;
   bool IsAlive = false;
   bool IsFrozen = false;
@@ -128,7 +129,7 @@
   bool IsListedLeaving = false;
   bool EngineAlive = true;
   int Starts = 0;
-  /// Links by entry that are cut, each way.
+  /// Entries whose link to or from this agent is partitioned.
   std::set<std::size_t> CutToAgent;
   std::set<std::size_t> CutToEntry;
   std::vector<std::function<void()>> Backlog;
@@ -166,7 +167,8 @@
   for (std::size_t i = 0; i < EntryNodes.size(); ++i)
     startEntry(i);
   rollOut(1);
-  // The agents' memory of keys begins at their start.
+  // Agents cannot prove anything about keys created before their start (plus
+  // the maximum clock skew), so the first calls wait until then.
   run(8s);
 }
 
@@ -230,7 +232,7 @@
   node.Replies.clear();
   node.Backlog.clear();
   const std::uint64_t instance = ++node.Instance;
-  // As the shell does: streams of an earlier incarnation end.
+  // The shell stops the streams of an earlier incarnation as well.
   node.Streams.clear();
   tickAgent(i, instance);
 }
@@ -281,7 +283,8 @@
 void SimulatedCluster::readBundle(std::size_t i, std::uint64_t instance) {
   if (EntryNodes[i]->Instance != instance)
     return;
-  // Only the first entry watches: the others learn from their peers.
+  // Only the first entry reads the store; the others receive bundles from
+  // peers.
   if (i == 0 && !IsStoreDown && !StoredBundle.empty() &&
       recordStep(Step::BundleRead, i, 0) != Fault::Lose)
     deliverToEntry(i, instance,
@@ -359,7 +362,8 @@
   return PlannedFault;
 }
 
-/// Stops a process for a while; what it was sent waits, as in its sockets.
+/// Stops a process for FreezeDuration. Its events are queued, as in socket
+/// buffers, and delivered afterwards.
 template <typename Node> void SimulatedCluster::freeze(Node &node) {
   node.IsFrozen = true;
   scheduleAfter(FreezeDuration, [&node, instance = node.Instance] {
@@ -371,7 +375,8 @@
   });
 }
 
-/// Its connections break: callers come back elsewhere.
+/// Kills an entry, which restarts later. Its callers lose their connections and
+/// resume at another entry.
 void SimulatedCluster::killEntry(std::size_t e) {
   EntryNodes[e]->IsAlive = false;
   for (auto &caller : Callers) {
@@ -383,8 +388,8 @@
   scheduleAfter(RestartDelay, [this, e] { startEntry(e); });
 }
 
-/// The VM vanishes a second after it was told; another takes its place under
-/// the same name.
+/// Reclaims the agent's VM one second after the notice. A new one starts later
+/// under the same name.
 void SimulatedCluster::reclaim(std::size_t a) {
   deliverToAgent(a, AgentNodes[a]->Instance,
                  agent::LeaveRequested{Clock.now().Steady + 1s});
@@ -398,7 +403,7 @@
 void SimulatedCluster::inject(Fault fault, std::size_t e, std::size_t a) {
   EntryNode &entryNode = *EntryNodes[e];
   AgentNode &agentNode = *AgentNodes[a];
-  // What is dead already cannot be killed again.
+  // A process that is not running cannot be killed.
   if ((fault == Fault::KillEntry && !entryNode.IsAlive) ||
       ((fault == Fault::RestartAgent || fault == Fault::Reclaim) &&
        !agentNode.IsAlive))
@@ -446,7 +451,7 @@
   case Fault::LateArrival:
   case Fault::LateCopy:
   case Fault::Reorder:
-    return; // they strike the message itself
+    return; // Applied to the message by transmit().
   }
 }
 
@@ -505,7 +510,7 @@
                              Random.chance(Options.DuplicationRate));
   if (isDuplicated)
     scheduleAfter(delay + linkDelay(), deliver);
-  // All is over when it arrives.
+  // Late deliveries arrive after the sender has given up.
   if (fault == Fault::LateArrival)
     scheduleAfter(LateArrivalDelay, deliver);
   if (fault == Fault::LateCopy)
@@ -548,7 +553,7 @@
 void SimulatedCluster::deliverPeer(std::size_t from, std::size_t to,
                                    entry::MessageId id,
                                    const wire::Request &request) {
-  // The peer's reply finds its way back by the two numbers.
+  // The reply id encodes the sender and the message id, to route the reply.
   const std::uint64_t reply = (static_cast<std::uint64_t>(from) << 48) | id;
   const std::uint64_t instance = EntryNodes[to]->Instance;
   scheduleAfter(linkDelay(), [this, to, instance, reply, request] {
@@ -618,7 +623,7 @@
   }
   stream.IsRunning = true;
   stream.Epoch = ++node.NextEpoch;
-  // The answer to the start is lost though the engine runs it.
+  // The connection is lost after the engine has started the generation.
   if (fault == Fault::Lose) {
     node.Streams.erase(c.RequestId);
     end(agent::EngineOutcome::ConnectionLost);
@@ -670,7 +675,7 @@
     deliverToAgent(a, instance, arrived);
   if (fault == Fault::Duplicate)
     deliverToAgent(a, instance, arrived);
-  // A fault can have ended the stream.
+  // A fault injected above may have removed the stream.
   const auto again = node.Streams.find(id);
   if (again == node.Streams.end())
     return;
@@ -772,7 +777,7 @@
   CallerOfSession[caller.Session] = &caller;
   const std::uint64_t instance = EntryNodes[e]->Instance;
   if (!EntryNodes[e]->IsAlive) {
-    // Nothing listens: the balancer would have sent it elsewhere.
+    // No process listens; a load balancer would have chosen another entry.
     caller.IsOver = true;
     caller.WasDisconnected = true;
     return;
@@ -800,7 +805,7 @@
 void SimulatedCluster::resume(Caller &caller) {
   if (caller.IsOver)
     return;
-  // Without an id there is nothing to come back for.
+  // Only a generation with a known request id can be resumed.
   if (caller.IsCall || caller.IsCancel || caller.RequestId.empty() ||
       ++caller.Resumes > MaxResumes) {
     caller.IsOver = true;
@@ -850,7 +855,8 @@
           index != std::to_string(caller->NextIndex))
         Violations += caller->Marker + ": token out of order; ";
       if (!caller->Seed.empty() && caller->Seed != seed)
-        Violations += caller->Marker + ": two generations mixed; ";
+        Violations +=
+            caller->Marker + ": tokens of two generations in one answer; ";
       caller->Seed = seed;
       ++caller->NextIndex;
     }
@@ -878,12 +884,13 @@
       caller->IsComplete = true;
       const std::string expected = "key~school-1~" + caller->Key;
       if (caller->IsCall && c->Answer.body() != expected)
-        Violations += caller->Marker + ": got another's answer; ";
+        Violations +=
+            caller->Marker + ": received the answer of another call; ";
     }
   }
 }
 
-// Running and judging.
+// Execution and verification.
 
 void SimulatedCluster::run(Duration time) {
   const base::Instant until = Clock.now().Steady + time;
@@ -908,7 +915,7 @@
   std::string violations = Violations;
   for (const auto &caller : Callers) {
     if (!caller->IsOver) {
-      violations += caller->Marker + ": never got a final answer; ";
+      violations += caller->Marker + ": received no final answer; ";
       continue;
     }
     const bool wasToldNotRun =
@@ -917,19 +924,20 @@
     const bool didRun = ran.contains(caller->Marker);
     if (wasToldNotRun && didRun && !caller->IsRepeated &&
         caller->Resumes == 0 && !caller->IsCancel)
-      violations += fmt::format("{}: said not run ({}), but it ran; ",
+      violations += fmt::format("{}: answered NotRun ({}), but it ran; ",
                                 caller->Marker, toString(caller->Refused->Why));
     if (caller->IsComplete && !caller->IsCancel && !didRun)
-      violations += caller->Marker + ": answered, but never ran; ";
+      violations += caller->Marker + ": complete answer, but it never ran; ";
   }
   for (const auto &[marker, n] : ServiceRuns)
     if (n > 1)
-      violations += fmt::format("{}: ran {} times; ", marker, n);
+      violations +=
+          fmt::format("{}: ran {} times, expected at most once; ", marker, n);
   for (const auto &node : AgentNodes)
     if (!node->Streams.empty())
       for (const auto &[id, stream] : node->Streams)
         if (stream.IsRunning)
-          violations += id + ": still runs unseen; ";
+          violations += id + ": still running on the engine after settling; ";
   return violations;
 }
 
--- a/test/simulated-cluster.h
+++ b/test/simulated-cluster.h
@@ -1,12 +1,13 @@
-/// A few real cores on a virtual clock, joined by a small fake network, with
-/// small fakes of engines, plain services and the key-value service. Callers
-/// check every answer, and `check` compares what they were told with what ran.
+/// Simulated cluster: real entry and agent cores on a virtual clock, connected
+/// by a fake network, with fakes of engines, plain services and the store.
+/// Simulated callers verify every answer, and `check` compares the answers with
+/// what ran.
 ///
-///   World world(options);
-///   world.askGeneration(0);
-///   world.run(20s);
-///   world.settle();
-///   EXPECT_EQ(world.check(), "");
+///   SimulatedCluster cluster(options);
+///   cluster.requestGeneration(0);
+///   cluster.run(20s);
+///   cluster.settle();
+///   EXPECT_EQ(cluster.check(), "");
 #pragma once
 
 #include "drumlanding/agent/core.h"
@@ -23,7 +24,7 @@
 
 namespace drumlanding::test {
 
-/// Every message and state change at which a fault can strike.
+/// The messages and state changes at which a fault can be injected.
 enum class Step {
   StartRequest,
   StartReply,
@@ -84,12 +85,12 @@
   std::uint32_t EngineCapacity = 3'000;
   agent::Mechanisms AgentMechanisms;
   entry::Mechanisms EntryMechanisms;
-  /// Part of all messages that are lost or doubled, for random runs.
+  /// Fractions of all messages that are lost or duplicated, for random runs.
   double LossRate = 0;
   double DuplicationRate = 0;
-  /// Part of the starts that the engines refuse.
+  /// Fraction of starts that the engines refuse.
   double RefusalRate = 0;
-  /// Longest extra delay of a message.
+  /// Maximum extra delay of a message.
   base::milliseconds MaxJitter{3};
 };
 
@@ -98,35 +99,37 @@
   explicit SimulatedCluster(SimulatedClusterOptions options);
   ~SimulatedCluster();
 
-  // What operators and callers do.
+  // Actions of operators and callers.
   void rollOut(std::uint64_t version);
-  /// Asks for a generation; the caller resumes elsewhere when it is cut off.
+  /// Requests a generation. If its connection fails, the caller resumes at
+  /// another entry.
   void requestGeneration(std::size_t entry);
-  /// Calls the plain service with a key; `repeats` sends it again elsewhere.
+  /// Calls the plain service with an idempotency key. With `repeats`, a copy of
+  /// the call is sent to another entry as well.
   void requestCall(std::size_t entry, bool repeats);
   void cancelGeneration(std::size_t entry);
-  /// Makes a caller lose its connection and come back. The entry may not notice
-  /// that the old connection is gone.
+  /// Closes a caller's connection; the caller resumes at another entry. With
+  /// `isNoticed` false, the old entry is not informed.
   void disconnectCaller(bool isNoticed = true);
 
   // Faults.
   void inject(Fault fault, std::size_t entry, std::size_t agent);
-  /// Injects `fault` at the n-th time that `step` is reached.
+  /// Injects `fault` at the `nth` next occurrence of `step`.
   void injectAt(Step step, Fault fault, int nth = 1);
-  /// Injects a second fault some time after the planned one struck.
+  /// Injects a second fault `after` the planned one.
   void scheduleSecondFault(Fault fault, base::Duration after);
   bool wasInjected() const { return WasFaultInjected; }
   int stepCount(Step step) const;
 
   void run(base::Duration time);
-  /// Heals everything and waits until nothing is on its way.
+  /// Stops random message faults and runs long enough for all work to end.
   void settle();
 
-  /// Returns what is wrong; empty when every promise held.
+  /// Returns all violated guarantees; empty if there are none.
   std::string check() const;
 
   std::size_t completeAnswers() const;
-  /// Streams that ended with an error, and requests that were refused.
+  /// Returns the number of requests and streams that ended with reason `why`.
   std::size_t refusedWith(base::Reason why) const;
   std::size_t attempts() const { return Attempts; }
   std::size_t requests() const;
@@ -135,15 +138,16 @@
   std::size_t agents() const;
   void setStoreDown(bool down) { IsStoreDown = down; }
   void listAgentLeaving(std::size_t agent);
-  /// A new VM takes the place of one that left, under the same name.
+  /// Starts a new agent under the name of one that left.
   void replaceAgent(std::size_t agent);
-  /// Tells an agent to stop, which the entries do not know yet.
+  /// Tells an agent to stop; the entries have not been informed yet.
   void requestLeave(std::size_t agent);
-  /// The platform's list is empty, as after a restart of the platform.
+  /// Sends the entries an empty server list, as after a restart of the
+  /// platform.
   void clearServerList();
-  /// From now on engines never end by themselves before maxTokens.
+  /// While on, new generations run until maxTokens.
   void setEndless(bool on) { IsEndless = on; }
-  /// Starts of new work on the engine of an agent so far.
+  /// Returns the number of new generations started on an agent's engine.
   int startsOn(std::size_t agent) const;
   std::size_t runningOn(std::size_t agent) const;
 
@@ -171,10 +175,11 @@
   void execute(std::size_t i, entry::Command &command);
   void execute(std::size_t i, agent::Command &command);
 
-  /// Carries a message over the network with whatever strikes it.
+  /// Sends a message over the network, with the faults that affect it.
   void transmit(Step step, std::size_t entry, std::size_t agent, bool isToAgent,
                 std::function<void()> deliver);
-  /// Counts a step; returns the fault that strikes now, if any.
+  /// Counts an occurrence of `step`. Injects and returns the planned fault if
+  /// it is due.
   std::optional<Fault> recordStep(Step step, std::size_t entry,
                                   std::size_t agent);
   void deliverRequest(std::size_t entry, std::size_t agent, entry::MessageId id,
@@ -218,7 +223,7 @@
   std::optional<Fault> SecondFault;
   base::Duration SecondFaultDelay{0};
   std::size_t Attempts = 0;
-  /// What ran, by the caller's marker.
+  /// Number of runs by the marker of the caller.
   std::map<std::string, int> GenerationRuns;
   std::map<std::string, int> ServiceRuns;
   std::string Violations;
