--- a/include/drumlanding/agent/core.h
+++ b/include/drumlanding/agent/core.h
@@ -23,7 +23,7 @@
 
 namespace drumlanding::agent {
 
-/// Identifies a request that has not been replied to.
+/// Identifies a request until it is replied to.
 using ReplyId = std::uint64_t;
 
 // Events.
--- a/include/drumlanding/agent/scheduler.h
+++ b/include/drumlanding/agent/scheduler.h
@@ -6,7 +6,7 @@
 ///   for (JobId id : s.decide(now).Start) ...
 ///
 /// Every token passes through the agent, so its count of used KV cache is
-/// exact. The engine's own report lags behind and serves only as a check.
+/// exact. The engine's report of used tokens lags behind and is not read.
 #pragma once
 
 #include "drumlanding/agent/lengths.h"
