--- a/include/drumlanding/agent/scheduler.h
+++ b/include/drumlanding/agent/scheduler.h
@@ -49,7 +49,7 @@
 
 /// How admission decides whether one more generation fits.
 enum class AdmissionRule {
-  Survival, ///< Mean and deviation of use at several horizons.
+  Survival, ///< Forecast mean and deviation at several horizons.
   Reserve,  ///< A fixed number of tokens per generation.
   Greedy,   ///< Everything; the engine preempts (a baseline).
 };
--- a/src/agent/generation-table.h
+++ b/src/agent/generation-table.h
@@ -21,7 +21,7 @@
   bool contains(const std::string &id) const {
     return Generations.contains(id);
   }
-  /// Records that `id` must never start: the caller was told NotRun, so a
+  /// Records that `id` must never start: the caller received NotRun, so a
   /// delayed duplicate of the Start must not run it.
   void recordTombstone(base::Now now, const std::string &id);
   /// Replies to a repeated request for a generation in the table.
