--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -12,20 +12,24 @@
 using base::Reason;
 using base::Verdict;
 
-/// A server that answers at its own time limit may still be heard.
+/// Added to the deadline so that the response of a server that answers at its
+/// own time limit still arrives.
 constexpr milliseconds DeadlineSlack{100};
-/// Connections come about in a few ms; a lost first packet is sent again only
-/// after a second, when another server is the better choice.
+/// Connecting takes a few ms. A lost SYN is sent again only after 1 s; trying
+/// another server is faster.
 constexpr milliseconds ConnectTimeout{400};
-/// Late answers to earlier requests that are read past.
+/// Maximum number of late responses to earlier requests that are skipped.
 constexpr int MaxForeignResponses = 3;
-/// With less time left no further attempt is worth its load.
+/// With less time remaining, another attempt is unlikely to succeed and only
+/// adds load.
 constexpr milliseconds MinAttemptTime{20};
-/// When to come back if no server could be found.
+/// Retry-After for all other reasons, such as no available server.
 constexpr milliseconds DefaultRetryAfter{250};
-/// A gateway without a config needs a call to the store, or a peer.
+/// Retry-After while the gateway has no config: it first has to read one from
+/// the store or from a peer.
 constexpr milliseconds NotReadyRetryAfter{1'000};
-/// Another gateway can take the request at once.
+/// Retry-After when this gateway is stopping: another gateway can serve the
+/// request immediately.
 constexpr milliseconds LeavingRetryAfter{20};
 
 milliseconds retryAfter(Reason why) {
@@ -35,7 +39,7 @@
 }
 constexpr int HighestPriority = 0;
 constexpr int LowestPriority = 9;
-/// Routes' priorities within one priority of organisations.
+/// Number of route priorities within each organisation priority.
 constexpr int RoutePriorityLevels = 3;
 
 } // namespace
@@ -126,7 +130,7 @@
     return AttemptEnd::OtherServer;
   if (answer.HasNotRun)
     return AttemptEnd::NotRun;
-  // Without its stamp it is not the server's answer.
+  // A response without the server's stamp was not made by the server.
   if (!answer.IsStamped)
     return AttemptEnd::Broken;
   return answer.Status >= FirstServerErrorStatus ? AttemptEnd::Failed
--- a/src/gateway/forwarded-request.h
+++ b/src/gateway/forwarded-request.h
@@ -1,5 +1,5 @@
-/// ForwardedRequest: one caller's request on its way to a backend server and
-/// back.
+/// ForwardedRequest: the state of one caller's request while it is forwarded to
+/// backend servers.
 #pragma once
 
 #include "gateway-context.h"
@@ -17,31 +17,33 @@
 
 namespace drumlanding::gateway {
 
-/// A request that the config in force allows, and what has become of it.
+/// A caller's request and the state of its forwarding.
 struct ForwardedRequest : std::enable_shared_from_this<ForwardedRequest> {
   ForwardedRequest(GatewayContext &ctx, CallerRequest request)
       : Ctx(ctx), Request(std::move(request)), DeadlineTimer(ctx.Io) {}
 
   GatewayContext &Ctx;
   CallerRequest Request;
-  /// The config that it began with; keeps MatchedRoute and CallerOrganisation
-  /// alive.
+  /// The routes in force when the request arrived. Keeps MatchedRoute,
+  /// ChosenService and CallerOrganisation alive.
   RouteTablePointer Routes;
   const Route *MatchedRoute = nullptr;
   const Service *ChosenService = nullptr;
-  /// Null on public routes.
+  /// The organisation that owns the request's key; null when the key is
+  /// unknown, which public routes and configs without keys allow.
   const Organisation *CallerOrganisation = nullptr;
   base::Instant ReceivedAt{};
-  /// When the caller, or the operators, want it to be over.
+  /// The earlier of the caller's deadline and the route's timeout.
   base::Instant Deadline{};
   asio::steady_timer DeadlineTimer;
 
-  /// The connection to a server that is in use.
+  /// The current connection to a server.
   std::shared_ptr<http::Connection> Connection;
-  /// The servers that it was sent to or that could not be reached.
+  /// Servers that the request was sent to or that were unreachable.
   std::vector<std::string> TriedServers;
   int Sends = 0;
-  /// How often it has arrived at a server, ended ones too.
+  /// How often the request was sent to an address, including those where
+  /// another server answered.
   int Arrivals = 0;
   bool MayHaveRun = false;
   bool IsExpired = false;
@@ -51,60 +53,65 @@
     return base::milliseconds(base::toMs(Deadline - Ctx.now()));
   }
   bool isAborted() const { return IsExpired || HasCallerDisconnected; }
-  /// Priority for engines, 0 (first) to 9: the organisation's goes first.
+  /// Returns the priority for engines, from 0 (most urgent) to 9. The
+  /// organisation's priority takes precedence over the route's.
   int priority() const;
-  /// Ends whatever waits for a server.
+  /// Closes the current connection, which ends pending reads from the server.
   void closeConnection();
   void startDeadlineTimer();
 };
 
 using ForwardedRequestPointer = std::shared_ptr<ForwardedRequest>;
 
-/// A whole answer of a server.
+/// A server's response with its complete body.
 struct CompleteResponse {
   ServerAnswer Head;
   std::string Body;
 };
 
-/// One attempt at a server.
+/// The result of one attempt to send the request to a server.
 struct Attempt {
   AttemptEnd End = AttemptEnd::Unreachable;
-  /// For the log.
+  /// What ended the attempt, for the log.
   std::string Cause;
   std::optional<CompleteResponse> Response;
 };
 
-/// Connects to a server within the time that is left; null when no connection
-/// came about.
+/// Connects to a server within the remaining time; returns null on failure.
 asio::awaitable<std::shared_ptr<http::Connection>>
 connectTo(ForwardedRequest &f, Server server);
 
-/// Sends the request; from here on it may run.
+/// Sends the request. From then on it may have run.
 void sendTo(ForwardedRequest &f, const Server &server,
             const std::optional<Continuation> &from);
 
-/// Reads heads until one answers this request; none when the connection broke.
+/// Reads response heads until one belongs to this request. Returns nullopt when
+/// the connection fails or MaxForeignResponses others came first.
 asio::awaitable<std::optional<ServerAnswer>>
 readMatchingHead(ForwardedRequest &f);
 
-/// Reads a body to its end; none when it broke off.
+/// Reads the body to its end; returns nullopt when it is truncated.
 asio::awaitable<std::optional<std::string>> readBody(ForwardedRequest &f);
 
-/// Says how a whole answer ends its attempt.
+/// Classifies a complete response as the end of an attempt.
 AttemptEnd classifyResponse(const ServerAnswer &answer);
 
-/// Asks the policy what follows an attempt.
+/// Applies the attempt policy after an attempt has ended. Takes a retry from
+/// the budget if the policy needs one. A send that another server answered is
+/// not counted.
 Step decideNextStep(ForwardedRequest &f, const Attempt &attempt,
                     bool hasServer);
 
-/// The final answer when nothing of a server can be passed on.
+/// Builds the gateway's own response when there is no server response to
+/// deliver.
 http::Response makeRefusal(const ForwardedRequest &f, base::Verdict verdict,
                            base::Reason why);
 
-/// Passes a whole answer on.
+/// Converts a server's response to the response to the caller.
 http::Response toResponse(CompleteResponse answer);
 
-/// Records the outcome of an attempt for the server's health.
+/// Records the outcome of an attempt in the server's health. Attempts that
+/// ended because the caller disconnected are ignored.
 void recordOutcome(ForwardedRequest &f, const std::string &server,
                    const Attempt &attempt);
 
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -13,11 +13,11 @@
   return {status, "text/plain", std::move(text), {}};
 }
 
-/// Time that an engine takes for a token, from its data sheet: 7 ms a step and
-/// 0.12 ms for each of some ten running generations.
+/// Time an engine takes per token, from its data sheet: 7 ms per step plus 0.12
+/// ms for each of about ten running generations.
 constexpr double MsPerToken = 8.5;
 
-/// Returns how long a stream is expected to go on; nothing for plain calls.
+/// Returns the expected duration of a stream; 0 for plain calls.
 base::Duration expectedStreamDuration(const ForwardedRequest &f) {
   if (f.MatchedRoute->Kind != RequestKind::Stream)
     return base::Duration(0);
@@ -82,7 +82,8 @@
       std::min(f.Request.Patience.value_or(f.MatchedRoute->Timeout),
                f.MatchedRoute->Timeout);
   f.Deadline = f.ReceivedAt + timeout;
-  // The stop would cut it: another gateway can carry it to its end.
+  // The stream would be interrupted when this gateway exits; another gateway
+  // can complete it.
   if (Ctx.IsLeaving &&
       f.ReceivedAt + expectedStreamDuration(f) > Ctx.stopDeadline())
     return makeRefusal(f, Verdict::NotRun, Reason::Leaving);
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -1,5 +1,5 @@
-/// Forwarder: takes callers' requests, asks the config in force what to do with
-/// them, and brings them to backend servers and the answers back.
+/// Forwarder: routes callers' requests to backend servers according to the
+/// config in force and returns the responses.
 #pragma once
 
 #include "forwarded-request.h"
@@ -14,11 +14,12 @@
   Forwarder(GatewayContext &ctx, Migrator &migrator)
       : Ctx(ctx), Migrations(migrator) {}
 
-  /// Answers one request of a caller.
+  /// Handles one request of a caller.
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
 
 private:
-  /// Returns the final answer when the request goes no further.
+  /// Matches the request with a route and checks its key. Returns the response
+  /// when the request is rejected, and nullopt when it is to be forwarded.
   std::optional<http::Response> admit(ForwardedRequest &f);
   asio::awaitable<void> forwardCall(ForwardedRequest &f, http::Exchange &x);
   asio::awaitable<Attempt> attemptCall(ForwardedRequest &f, Server server);
--- a/src/gateway/gateway-context.h
+++ b/src/gateway/gateway-context.h
@@ -1,5 +1,6 @@
-/// GatewayContext: what the parts of one gateway share. The gateway's VMs have
-/// one slow core, so all of it runs on one thread and needs no locks.
+/// GatewayContext: the state shared by the components of one gateway. Gateway
+/// VMs have one slow core, so every component runs on the same thread and the
+/// state needs no locks.
 #pragma once
 
 #include "drumlanding/base/metrics.h"
@@ -30,24 +31,28 @@
   base::Endpoint ReadyListen;
   base::Endpoint ControlListen;
   base::Endpoint StoreAddress;
-  /// Where the metrics are told, beside the control address; none when unset.
+  /// Additional address that serves the metrics, which the control address
+  /// always serves; unset for none.
   std::optional<base::Endpoint> MetricsListen;
   std::vector<base::Endpoint> Seeds;
-  /// The port of the processes beside engines; 0 when there are none.
+  /// UDP port of the engines' sidecars; 0 when there are no sidecars.
   std::uint16_t SidecarPort = 0;
   RetryBudgetOptions Retries;
-  /// How long a server that leaves as planned serves at least.
+  /// Minimum time that a server keeps serving after it has announced a planned
+  /// leave.
   base::milliseconds DrainTime{2'000};
-  /// A config is in force this long after the store has taken it.
+  /// Time limit from the store's acceptance of a config until the gateway
+  /// applies it.
   base::milliseconds MaxConfigApplyTime{2'000};
-  /// How often servers renew their entries in the store.
+  /// Interval at which servers renew their entries in the store.
   base::milliseconds RenewalInterval = Directory::DefaultRenewal;
-  /// From the order to stop until the process is killed.
+  /// Time between the stop signal and the kill of the process.
   base::milliseconds TerminationGracePeriod{8'000};
 };
 
 struct GatewayContext {
-  /// The process ends by itself this long before it would be killed.
+  /// The process exits this long before the end of the termination grace
+  /// period.
   static constexpr base::milliseconds ExitMargin{250};
 
   GatewayContext(asio::io_context &io, const base::Clock &clock,
@@ -73,46 +78,49 @@
   base::Random Random;
   std::uint64_t Incarnation = base::secureRandom64();
   Peers GatewayPeers;
-  /// The config in force; null before the first.
+  /// The routes of the config in force; null until the first config is applied.
   RouteTablePointer Routes;
-  /// When the config was last known to be the store's newest.
+  /// When the store last confirmed that it has no newer config.
   base::Instant ConfigConfirmedAt{};
-  /// Its text, for peers that are behind.
+  /// The encoded config in force, served to peers with an older one.
   std::string ConfigText;
-  /// When the list of servers was last heard from the store, by whomever.
+  /// When the server list was last confirmed by the store, either by this
+  /// gateway or by a peer that shares the same list.
   base::Instant ListConfirmedAt{};
-  /// The store's revision up to which every change of it is known here.
+  /// The store revision up to which all changes of the list are applied here.
   std::uint64_t ListRevision = 0;
-  /// When this gateway itself last heard it from the store.
+  /// When this gateway itself last read the list from the store.
   base::Instant ListReadAt{};
-  /// When it last began to read it without getting an answer.
+  /// When this gateway started its last failed read of the list.
   base::Instant ListReadFailedAt{};
-  /// This gateway is to follow the store's list itself, as it does until others
-  /// are known to do it.
+  /// True when this gateway has to watch the store's list itself: it is one of
+  /// the few gateways that watch for all, or no peer is known to watch.
   bool WatchesList = true;
-  /// Changes of the list heard from the store and not yet told to the others.
+  /// Changes of the list that were read from the store and are not yet sent to
+  /// the peers.
   std::vector<ServerChange> PendingListChanges;
-  /// Entries of the list that name no usable server and were logged.
+  /// Ids of list entries that name no usable server and are already logged.
   std::set<std::string, std::less<>> UnusableEntryIds;
   bool IsLeaving = false;
-  /// When the process was told to stop.
+  /// When the process received the stop signal.
   base::Instant LeavingSince{};
-  /// Requests being answered.
+  /// Number of requests in progress.
   int OpenRequests = 0;
-  /// Tells the other gateways soon.
+  /// Schedules a gossip message to the other gateways.
   std::function<void()> NotifyPeers;
 
   base::Instant now() const { return Clock.now().Steady; }
-  /// True while the store's list reaches this gateway without help of others.
+  /// Returns whether this gateway itself reads the store's list and has done so
+  /// recently.
   bool hasStoreContact() const {
     return WatchesList && now() - ListReadAt < ListIsOld;
   }
   bool isReady() const { return Routes && !Servers.isEmpty() && !IsLeaving; }
-  /// When a gateway that was told to stop ends, whatever is still open.
+  /// Returns when a stopping gateway exits, even if requests are still open.
   base::Instant stopDeadline() const {
     return LeavingSince + Settings.TerminationGracePeriod - ExitMargin;
   }
-  /// Puts a config in force unless it is older than the one there is.
+  /// Applies a config if its version is newer than that of the config in force.
   void applyConfig(std::string text, std::string_view from);
 };
 
--- a/src/gateway/gateway-metrics.cc
+++ b/src/gateway/gateway-metrics.cc
@@ -59,7 +59,7 @@
 
 namespace {
 
-/// Sets the gauges of what the gateway knows now.
+/// Updates the gauges from the gateway's current state.
 void updateGauges(GatewayContext &ctx) {
   const base::Instant now = ctx.now();
   base::Metrics &metrics = ctx.Metrics;
--- a/src/gateway/gateway-metrics.h
+++ b/src/gateway/gateway-metrics.h
@@ -1,5 +1,4 @@
-/// Gateway metrics: every counter, histogram and gauge of a gateway, by name
-/// and labels, in one place.
+/// Gateway metrics: all counters, histograms and gauges of a gateway.
 #pragma once
 
 #include "gateway-context.h"
@@ -9,19 +8,19 @@
 
 namespace drumlanding::gateway {
 
-/// Outcome a call ended for its caller.
+/// The result of a plain call, as seen by its caller.
 struct CallResult {
   std::string_view Route;
-  /// 0 when the caller left before an answer.
+  /// 0 when the caller disconnected before the response.
   int Status = 0;
   base::Duration Elapsed{0};
 };
 
-/// Outcome a stream ended for its caller.
+/// The result of a stream, as seen by its caller.
 struct StreamResult {
   std::string_view Route;
   std::string_view Outcome;
-  /// From the request to the first event; 0 when none came.
+  /// Time from the request to the first event; 0 if there was none.
   base::Duration TimeToFirstEvent{0};
   base::Duration MaxPause{0};
   base::Duration Elapsed{0};
@@ -29,18 +28,20 @@
 
 void countCall(base::Metrics &metrics, const CallResult &result);
 void countStream(base::Metrics &metrics, const StreamResult &result);
-/// Counts a step of a move: "begun", "copied", "continued".
+/// Counts a step of a migration: "begun", "copied", "copied last" or
+/// "continued".
 void countMigrationStep(base::Metrics &metrics, std::string_view step,
                         bool isDone);
-/// Counts a second send that was asked of the retry budget.
+/// Counts a retry that was requested from the retry budget.
 void countRetry(base::Metrics &metrics, std::string_view service,
                 bool isGranted);
 
-/// Counts a call to the store for "config" or "servers".
+/// Counts a call to the store for a resource, "config" or "servers".
 void countStoreCall(base::Metrics &metrics, std::string_view resource,
                     bool isAnswered);
 
-/// Answers /metrics, /healthz and /readyz; none for any other path.
+/// Returns the response for /metrics, /healthz and /readyz, and nullopt for any
+/// other path.
 std::optional<http::Response> metricsPage(GatewayContext &ctx,
                                           const http::Request &request);
 
--- a/src/gateway/gossip-messages.h
+++ b/src/gateway/gossip-messages.h
@@ -1,5 +1,5 @@
-/// Gossip messages: the ledger's runs and the directory's servers as gateways
-/// send them to each other.
+/// Gossip messages: conversions of runs, servers and notices between the
+/// gateway's types and the wire format of gossip.
 #pragma once
 
 #include "drumlanding/gateway/config.h"
@@ -15,7 +15,7 @@
 LedgerRun fromWire(const wire::Run &run);
 
 wire::Server toWire(const ListedServer &server);
-/// Leaves out servers whose address cannot be read.
+/// Skips servers with a malformed address.
 std::vector<ListedServer>
 fromWire(const google::protobuf::RepeatedPtrField<wire::Server> &servers);
 
@@ -25,8 +25,8 @@
 wire::ServerList toWire(const ServerList &list, base::milliseconds age);
 ServerList fromWire(const wire::ServerList &list);
 
-/// Reads what the process beside an engine says; the notice's address may be
-/// missing, then the id is empty.
+/// Converts a sidecar's notice. The server id stays empty when the address is
+/// missing or malformed.
 ServerNotice fromWire(const wire::EngineNotice &notice);
 
 } // namespace drumlanding::gateway
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -18,18 +18,18 @@
 using boost::system::error_code;
 using daemon::sleepFor;
 
-/// How often each gateway tells what it knows when nothing happens.
+/// Interval between messages with the full state.
 constexpr milliseconds FullStateInterval{500};
-/// News go out together after this short time.
+/// Changes within this time are sent in one message.
 constexpr milliseconds DeltaBatchDelay{4};
-/// How often it is checked whether another gateway knows more, and whether
-/// something has become old.
+/// Interval of the checks for peers with a newer config or list and for expired
+/// state.
 constexpr milliseconds CheckInterval{200};
 constexpr milliseconds FetchTimeout{1'000};
-/// One message in so many carries the addresses of the live gateways.
+/// One in this many full states carries the addresses of the live gateways.
 constexpr std::uint64_t FullStatesPerPeerList = 4;
-/// Changes of the list that fit into a datagram beside all else; after more,
-/// the others fetch the whole.
+/// Maximum number of list changes that fit into a datagram with the rest of the
+/// message. When there are more, none is sent and the peers fetch the list.
 constexpr std::size_t MaxListChanges = 200;
 constexpr std::string_view ConfigPath = "/config";
 constexpr std::string_view ServersPath = "/servers";
@@ -83,14 +83,14 @@
     co_await SendTimer.async_wait(
         asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
-      continue; // delta came: the timer was set anew
+      continue; // the timer was reset because an update is due
     IsSendDue = false;
     sendUpdate();
   }
 }
 
-/// Tells all that this gateway does every half second, and between only what
-/// is new: the links of small VMs are slow.
+/// Sends the full state every FullStateInterval and only the delta in between,
+/// since the links of small VMs are slow.
 void Gossip::sendUpdate() {
   const base::Instant now = Ctx.now();
   wire::Gossip message = makeStatusMessage();
@@ -110,7 +110,8 @@
   broadcast(message);
 }
 
-/// Who this gateway is, and which config, list and leaving servers it knows.
+/// Returns a message with this gateway's identity, its config and list
+/// versions, and the leaving and ejected servers.
 wire::Gossip Gossip::makeStatusMessage() {
   const base::Instant now = Ctx.now();
   wire::Gossip message;
@@ -140,7 +141,8 @@
   return message;
 }
 
-/// So that the others need not fetch the whole list for each change of it.
+/// Adds pending list changes, so that the peers need not fetch the complete
+/// list after each change.
 void Gossip::addListDelta(wire::Gossip &message) {
   const std::vector<ServerChange> delta = std::move(Ctx.PendingListChanges);
   Ctx.PendingListChanges.clear();
@@ -159,7 +161,7 @@
                           std::span<const LedgerRun> runs) {
   for (const LedgerRun &run : runs)
     *message.add_runs() = toWire(run);
-  // Bytes between zones are paid for: addresses go with a part of the messages.
+  // Traffic between zones is billed, so only some messages carry addresses.
   if (FullStateCount++ % FullStatesPerPeerList != 0)
     return;
   for (const Peer &peer : Ctx.GatewayPeers.live(Ctx.now()))
@@ -178,8 +180,9 @@
   broadcast(message);
 }
 
-/// Asks the process beside an engine who is there: after a restart of all, the
-/// store lists the engines of before for seconds.
+/// Requests a notice from an engine's sidecar to verify which server runs
+/// there. After a restart of all servers, the store lists the previous ones for
+/// several seconds.
 void Gossip::requestSidecarNotice(const Server &server) {
   if (Ctx.Settings.SidecarPort == 0)
     return;
@@ -197,7 +200,7 @@
                message.SerializeAsString());
 }
 
-/// Takes a sidecar's notice and answers with the gateways' addresses.
+/// Applies a sidecar's notice and replies with the addresses of the gateways.
 void Gossip::handleSidecarNotice(const wire::Gossip &message,
                                  const Datagrams::Sender &from) {
   const base::Instant now = Ctx.now();
@@ -225,7 +228,7 @@
   const Peers::Heard senderState = Ctx.GatewayPeers.heard(now, message);
   if (senderState == Peers::Heard::Nothing)
     return;
-  // Who has just started knows nothing yet.
+  // A gateway that has just started has no state yet.
   if (senderState == Peers::Heard::Newcomer && !message.is_last()) {
     wire::Gossip all = makeStatusMessage();
     addFullState(all, Ctx.Runs.ownRuns());
@@ -256,8 +259,8 @@
                                    static_cast<int>(avoided.broken_answers()),
                                    milliseconds(avoided.left_ms()),
                                    milliseconds(avoided.born_ms())});
-  // An outage of the store is one that affects every gateway, not a loss of
-  // this gateway's own path to it.
+  // A peer's contact with the store counts as well: only a store that no
+  // gateway reaches has an outage, not one that only this gateway cannot reach.
   if (message.watches_list())
     Ctx.Servers.noteStoreContact(now - milliseconds(message.list_age_ms()),
                                  now - milliseconds(message.steady_ms()));
@@ -267,8 +270,8 @@
     Ctx.Servers.remove(now, fromWire(gone), Evidence::Gateway);
 }
 
-/// A gateway that follows the store's list has the same one: it is as fresh
-/// as theirs.
+/// If a peer that watches the store has the same list, this gateway's list is
+/// as recent as the peer's.
 void Gossip::adoptListAge(base::Instant now, const wire::Gossip &message) {
   if (!message.watches_list() || Ctx.hasStoreContact() ||
       message.list_digest() != Ctx.Servers.digest())
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -1,5 +1,5 @@
-/// Gossip: tells the other gateways what this one does and knows, takes what
-/// they tell, and fetches from them what the store keeps from this one.
+/// Gossip: exchanges runs, server changes and versions with the other gateways
+/// in datagrams, and fetches a newer config or server list from them over HTTP.
 #pragma once
 
 #include "gateway-context.h"
@@ -19,10 +19,10 @@
 public:
   static base::Result<std::unique_ptr<Gossip>> start(GatewayContext &ctx);
 
-  /// Answers other gateways' questions at the control address.
+  /// Serves the config, the server list and the metrics at the control address.
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
 
-  /// Tells the others that this gateway ends.
+  /// Notifies the other gateways that this gateway stops.
   void announceStop();
 
 private:
@@ -50,12 +50,13 @@
   GatewayContext &Ctx;
   std::unique_ptr<Datagrams> Socket;
   asio::steady_timer SendTimer;
-  /// News are to be told: at the start, that this gateway is there.
+  /// An update is due. Initially true, so that the gateway announces itself
+  /// when it starts.
   bool IsSendDue = true;
   ToldRuns RunDeltas;
-  /// When all was told last, not only news.
+  /// When the last message with the full state was sent.
   base::Instant FullStateSentAt{};
-  /// Messages with all so far.
+  /// Number of messages with the full state so far.
   std::uint64_t FullStateCount = 0;
   std::unique_ptr<http::Server> ControlServer;
 };
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -1,5 +1,5 @@
-// drumlanding-gateway: takes callers' HTTP requests and brings them straight to
-// backend servers, by the operators' routes.
+// drumlanding-gateway: forwards callers' HTTP requests directly to backend
+// servers according to the operators' routes.
 #include "platform/dialect.h"
 #include "platform/source.h"
 #include "shell.h"
@@ -129,7 +129,7 @@
   return settings;
 }
 
-/// Calls back on SIGHUP, and when the settings file has changed by itself.
+/// Invokes a callback on SIGHUP and when the settings file has been modified.
 class SettingsFileWatcher {
 public:
   SettingsFileWatcher(boost::asio::io_context &io,
@@ -184,7 +184,7 @@
   if (!ok(settings))
     base::exitOnBadSettings(error(settings));
   boost::asio::io_context io(1);
-  // Whoever reads the log may go away.
+  // The reader of the log may close its end of the pipe.
   std::signal(SIGPIPE, SIG_IGN);
   const platform::Store store(value(settings).StoreAddress);
   const base::SystemClock clock;
@@ -201,6 +201,7 @@
   SettingsFileWatcher watch(
       io, [&] { value(shell)->reload(readGatewaySettings(argc, argv)); });
   io.run();
-  // Connections that are still open hold references into the shell.
+  // Skips destructors: connections that are still open hold references into the
+  // shell.
   std::_Exit(0);
 }
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -17,30 +17,31 @@
 using daemon::sleepFor;
 using Outcome = MoveAnswer::Outcome;
 
-/// A copy that takes this much longer than its bytes need has waited behind
-/// others, and so would the last one.
+/// A copy that exceeds its expected time by this much was queued behind other
+/// copies on the link, and so would the final copy be.
 constexpr milliseconds QueueingSlack{60};
-/// Copies of a long prompt behind others take seconds.
+/// Copies of a long prompt that queue behind others take seconds.
 constexpr milliseconds CopyTimeout{4'000};
-/// A run that has not begun has nothing to copy yet.
+/// Delay before the next copy request when the source has not begun the run, so
+/// that there is nothing to copy yet, or is busy with another copy.
 constexpr milliseconds CopyRetryInterval{60};
-/// Leaving engines that say nothing else are gone this long after the notice,
-/// at the earliest (shortest notice on the sheets: 1.54 s, less its way).
+/// Time from an engine's notice to its shutdown when the notice gives none. The
+/// shortest notice on the data sheets is 1.54 s; part of it passes while the
+/// notice is on its way.
 constexpr milliseconds MinShutdownNotice{1'500};
-/// What a last, short copy takes with its messages (measured: 5 to 25 ms).
+/// Time reserved for the final copy and its messages (measured: 5 to 25 ms).
 constexpr milliseconds FinalCopyTime{40};
-/// Copies while the run goes on; the last needs no more than this many
-/// before.
+/// Maximum number of copies before the final one.
 constexpr int MaxCopies = 12;
-/// Destinations tried for one run.
+/// Maximum number of destinations tried in one migration.
 constexpr int MaxDestinations = 3;
-/// Longest wait for a copy to be freed.
+/// Timeout for the request that frees a copy.
 constexpr milliseconds FreeCopyTimeout{300};
-/// A move of one generation takes a quarter of a second, twice that between
-/// zones.
+/// A run waits this long without a change among the runs on its server before
+/// it proceeds out of turn. Migrating one generation takes about 250 ms, and
+/// twice that between zones.
 constexpr milliseconds MaxTurnTime{900};
-/// How often a run looks whether its turn has come when nothing is heard of the
-/// others.
+/// Interval at which a waiting run checks its turn when no change is reported.
 constexpr milliseconds TurnCheckInterval{100};
 
 } // namespace
@@ -112,8 +113,9 @@
                   source.Listed.Zone != destination.Listed.Zone);
 }
 
-/// Waits until the runs that come before it are gone, or until nothing
-/// has changed for so long that whoever moves them must have failed.
+/// Waits until the runs that migrate before this one have left the server.
+/// Proceeds as well when their number has not changed for MaxTurnTime: the
+/// gateway that migrates them has probably failed.
 asio::awaitable<void> Migrator::waitForTurn(StreamRunPointer run,
                                             std::string sourceId) {
   std::size_t previousCount = 0;
@@ -168,15 +170,18 @@
   co_return answer;
 }
 
-/// Copies until the links are free or the time has come; false when the
-/// destination takes nothing or the run is over.
+/// Copies repeatedly until a copy takes no longer than expected, that is, the
+/// link is free, or until the time before the shutdown is needed for the final
+/// copy. Returns false when the destination accepts no copy or the run has left
+/// the source.
 asio::awaitable<bool> Migrator::copyWhileRunning(StreamRunPointer run,
                                                  Server source,
                                                  Server destination) {
   base::Duration expected = estimateCopyTime(*run, source, destination);
   for (int i = 0; i < MaxCopies; ++i) {
     const base::Instant startedAt = Ctx.now();
-    // With too little time for a copy and its rest, the last must do alone.
+    // There is no time for another copy and the final one: the final copy has
+    // to transfer everything.
     if (startedAt + expected + FinalCopyTime > shutdownAt(source))
       co_return true;
     const MoveAnswer answer =
@@ -199,7 +204,8 @@
   co_return true;
 }
 
-/// Tells the other gateways where a copy goes, so that theirs go elsewhere.
+/// Publishes the destination of a copy, so that the other gateways count it in
+/// that engine's load.
 void Migrator::announceCopy(const StreamRunPointer &run, std::string server) {
   if (run->HasEnded)
     return;
@@ -214,7 +220,8 @@
   co_await http::fetch(at, std::move(request), FreeCopyTimeout);
 }
 
-/// Lets the next run's turn come: this one goes on at `next`.
+/// Publishes that the run continues at `next`, so that the next run in the
+/// migration order may start.
 void Migrator::releaseTurn(const StreamRunPointer &run,
                            const std::string &next) {
   if (run->HasEnded)
@@ -226,8 +233,9 @@
   Ctx.NotifyPeers();
 }
 
-/// Returns true when the run has stopped, or is over, and false when another
-/// destination may be tried.
+/// Migrates a run to one destination. Returns true when the source has stopped
+/// the run or the run has left it, and false when another destination may be
+/// tried.
 asio::awaitable<bool> Migrator::migrateTo(StreamRunPointer run, Server source,
                                           Server destination) {
   const bool isCopied = co_await copyWhileRunning(run, source, destination);
@@ -238,11 +246,12 @@
       co_await copyKvCache(run, source, destination, true);
   if (answer.Handle.empty())
     co_return false;
-  // When the last copy failed, the source has stopped and kept the memory.
+  // When only the final copy failed, the source has stopped the run and kept
+  // its KV cache: the run resumes there.
   const bool isComplete = answer.What == Outcome::Copied;
   run->ResumeFrom = Continuation{source.Listed.Address, answer.Handle, 0};
   run->ResumeServer = isComplete ? destination.Listed.Id : source.Listed.Id;
-  // Not before: the next run's copy would hold up this last, short one.
+  // Released only now: the next run's copy would delay this final, short one.
   releaseTurn(run, run->ResumeServer);
   co_return true;
 }
@@ -278,7 +287,7 @@
   if (run->isRunningOn(sourceId))
     announceCopy(run, "");
   run->MigrationEnded.cancel();
-  // It may have come to another server that leaves meanwhile.
+  // The run may have resumed on a server that started leaving in the meantime.
   if (!run->isRunningOn(sourceId))
     migrateIfLeaving(run);
 }
--- a/src/gateway/migrator.h
+++ b/src/gateway/migrator.h
@@ -1,6 +1,6 @@
-/// Migrator: brings running generations away from engines that leave. The
-/// memory is copied while the generation runs; the last, short copy stops it,
-/// and the stream goes on from the other engine.
+/// Migrator: migrates running generations off leaving engines. The KV cache is
+/// copied while the generation runs; for the short final copy the generation
+/// stops, and the stream resumes at the destination engine.
 #pragma once
 
 #include "forwarded-request.h"
@@ -12,32 +12,33 @@
 
 namespace drumlanding::gateway {
 
-/// A generation that is running for a caller.
+/// A running generation of a caller and the state of its migration.
 struct StreamRun {
   explicit StreamRun(ForwardedRequestPointer f)
       : RequestRef(std::move(f)), F(*RequestRef), MigrationEnded(F.Ctx.Io) {
     MigrationEnded.expires_at(base::Instant::max());
   }
 
-  /// A move may outlast the request.
+  /// Keeps the request alive, since a migration may outlive its stream.
   ForwardedRequestPointer RequestRef;
   ForwardedRequest &F;
   RunId Id = 0;
   std::string Server;
-  /// The engine that a copy of its memory is on its way to; empty when none is.
+  /// The engine that its KV cache is being copied to; empty when there is none.
   std::string CopyServer;
   EventSplitter Events;
   bool HasEnded = false;
-  /// A move is under way: the end of the connection is part of it.
+  /// A migration is in progress, so the end of the connection may be part of
+  /// it.
   bool IsMigrating = false;
-  /// The source has stopped, or will have: the stream goes on from here.
+  /// Where the stream resumes after the source has stopped the run.
   std::optional<Continuation> ResumeFrom;
   std::string ResumeServer;
   base::Instant StoppedAt{};
-  /// Cancelled when a move ends.
+  /// Cancelled when a migration ends.
   asio::steady_timer MigrationEnded;
 
-  /// True while it runs on that server, as far as is known.
+  /// Returns whether the run is still active and placed on that server.
   bool isRunningOn(const std::string &server) const {
     return !HasEnded && Server == server;
   }
@@ -53,11 +54,13 @@
 
   void add(const StreamRunPointer &run);
   void remove(const StreamRunPointer &run);
-  /// Migrates all generations that run there.
+  /// Starts to migrate all generations that run on a leaving server.
   void migrateAllFrom(const Server &server);
-  /// Looks whose turn it is: a run has come, changed its place or ended.
+  /// Called when a run was added, changed its server or ended: the waiting
+  /// migrations check again whether it is their turn.
   void onRunsChanged();
-  /// Migrates one that began, or arrived, on a server that leaves.
+  /// Starts to migrate a run if its server is leaving, its engine supports
+  /// migration, and no migration of it is in progress.
   void migrateIfLeaving(const StreamRunPointer &run);
 
 private:
@@ -79,7 +82,8 @@
 
   GatewayContext &Ctx;
   std::list<StreamRunPointer> Runs;
-  /// Cancelled when a run has changed, for those that wait for their turn.
+  /// Timers of the migrations that wait for their turn; cancelled when any run
+  /// changes.
   std::list<asio::steady_timer> TurnTimers;
 };
 
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -14,8 +14,9 @@
 using base::milliseconds;
 using daemon::sleepFor;
 
-/// The balancer asks every second and needs two answers to take a gateway out;
-/// until then it may hand over new connections.
+/// Time until the load balancer has removed this gateway: it checks readiness
+/// every second and needs two failed checks. Until then it may open new
+/// connections.
 constexpr milliseconds BalancerRemovalTime{3'000};
 constexpr milliseconds DrainCheckInterval{50};
 
--- a/src/gateway/shell.h
+++ b/src/gateway/shell.h
@@ -1,4 +1,4 @@
-/// Shell: the sockets, timers and life of one gateway.
+/// Shell: the I/O layer of one gateway: its sockets, timers and shutdown.
 #pragma once
 
 #include "forwarder.h"
@@ -14,14 +14,15 @@
   start(asio::io_context &io, const base::Clock &clock,
         GatewaySettings settings, Dialect dialect, Source source);
 
-  /// Takes the settings that can change while the process runs: limits and
+  /// Applies the settings that can change while the process runs: limits and
   /// times. New addresses need a restart.
   void reload(const base::Result<GatewaySettings> &settings);
 
-  /// Takes no new callers, lets requests end, and stops the context.
+  /// Stops accepting connections after the load balancer has removed this
+  /// gateway, waits for open requests, and stops the io_context.
   void shutDown();
 
-  /// What this gateway knows and does, for tests.
+  /// Returns the gateway's state, for tests.
   const GatewayContext &context() const { return Ctx; }
 
 private:
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -15,31 +15,34 @@
 using base::milliseconds;
 using daemon::sleepFor;
 
-/// A watch that says nothing for so long is asked anew, so that a
-/// connection that died in silence is noticed while there is time to read the
-/// config again and to tell the others before it has to be in force.
+/// Bounds of a config watch's duration, and that duration as a ratio of
+/// MaxConfigApplyTime. Watches are renewed this often so that a silently dead
+/// connection is detected while there is time to read the config again and to
+/// notify the peers before the config must be in force.
 constexpr milliseconds MinConfigWatchWait{100};
 constexpr milliseconds MaxConfigWatchWait{4'000};
 constexpr double ConfigWatchWaitRatio = 0.4;
-/// The same for the list of servers, whose renewals come all the time.
+/// Duration of a watch of the server list, in which renewals arrive constantly.
 constexpr milliseconds ListWatchWait{500};
-/// The same for a gateway that is told of changes by others: each call to the
-/// store is paid for.
+/// Duration of a config watch in a gateway whose peers watch the store and
+/// relay changes to it. Longer, since each call to the store is billed.
 constexpr milliseconds RelayedWatchWait{12'000};
-/// How often such a gateway checks that others still read the store.
+/// Interval at which that gateway checks whether peers still watch the store.
 constexpr milliseconds RoleCheckInterval{200};
-/// Servers write their entries all the time: changes are taken in together. A
-/// server that leaves serves for two seconds and longer.
+/// Delay before each watch of the server list, so that one call returns several
+/// changes: servers renew their entries constantly. A leaving server keeps
+/// serving for at least 2 s, so the delay loses no requests.
 constexpr milliseconds ChangeBatchDelay{400};
-/// Backoff before the whole is read anew after a lost history.
+/// Delay before a resync after the history was compacted.
 constexpr milliseconds ResyncDelay{150};
-/// First pause before asking a store again that is away, and the longest, also
-/// for a gateway that is told of changes by others.
+/// Initial and maximum backoff while the store is unreachable. The maximum is
+/// longer for a gateway whose peers relay changes to it.
 constexpr milliseconds InitialBackoff{100};
 constexpr milliseconds MaxBackoff{400};
 constexpr milliseconds MaxRelayedBackoff{1'000};
 
-/// Tells whether the store answers, once for each change.
+/// Tracks whether the store is reachable. Logs each transition once and
+/// computes the backoff.
 class StoreHealth {
 public:
   StoreHealth(GatewayContext &ctx, std::string_view resource)
@@ -54,7 +57,7 @@
     Backoff = InitialBackoff;
   }
 
-  /// Returns how long to wait before the next call.
+  /// Returns the delay before the next call.
   milliseconds recordFailure(const base::Error &e) {
     countStoreCall(Ctx.Metrics, Resource, false);
     if (!IsUnreachable)
@@ -91,7 +94,8 @@
   ctx.ListConfirmedAt = now;
 }
 
-/// Logs an entry that names no usable server, once.
+/// Logs an entry that names no usable server, once until the entry is usable
+/// again.
 void logIfUnusable(GatewayContext &ctx, const ServerChange &change) {
   if (change.Problem.empty()) {
     ctx.UnusableEntryIds.erase(change.Id);
@@ -108,7 +112,7 @@
   const std::uint64_t before = ctx.Servers.digest();
   for (const ServerChange &change : changes.Changes) {
     logIfUnusable(ctx, change);
-    // Servers write their entries all the time: few writes change anything.
+    // Most writes are renewals that change nothing.
     const bool isChanged = change.Listed
                                ? !ctx.Servers.isListedAs(*change.Listed)
                                : ctx.Servers.isListed(change.Id);
@@ -149,8 +153,8 @@
     co_await sleepFor(RoleCheckInterval);
 }
 
-/// Waits for a change of the config. A long watch ends as soon as this gateway
-/// has to follow the store itself: its connection may be dead.
+/// Waits for a change of the config. A long watch is abandoned as soon as this
+/// gateway has to watch the store itself, because its connection may be dead.
 Source::Answer<ConfigText> waitForConfigChange(GatewayContext &ctx,
                                                std::uint64_t revision) {
   if (ctx.WatchesList) {
@@ -165,8 +169,7 @@
                         "no other gateway reads the store"};
 }
 
-/// Follows changes from a revision until the watch fails, or until others do it
-/// for this gateway.
+/// Applies config changes after a revision until a watch fails or is abandoned.
 asio::awaitable<base::Error>
 followConfig(GatewayContext &ctx, StoreHealth &health, std::uint64_t revision) {
   for (;;) {
@@ -214,7 +217,8 @@
       ctx.applyConfig(std::move(value(read).Text), "store");
     const base::Error e =
         co_await followConfig(ctx, health, value(read).Revision);
-    // Reading anew is the answer to a lost history, after a pause.
+    // A compacted history is not a failure of the store: resync after a short
+    // delay.
     const milliseconds pause =
         isHistoryCompacted(e) ? ResyncDelay : health.recordFailure(e);
     co_await sleepFor(pause);
@@ -224,7 +228,7 @@
 asio::awaitable<void> watchServers(GatewayContext &ctx) {
   StoreHealth health(ctx, "servers");
   for (;;) {
-    // The others' lists reach this gateway through them.
+    // Peers that watch the list relay it to this gateway.
     if (!ctx.WatchesList && !ctx.Servers.isEmpty()) {
       co_await sleepFor(ChangeBatchDelay);
       continue;
@@ -241,7 +245,8 @@
     applySnapshot(ctx, value(read));
     const base::Error e =
         co_await followServers(ctx, health, value(read).Revision);
-    // Reading anew is the answer to a lost history, after a pause.
+    // A compacted history is not a failure of the store: resync after a short
+    // delay.
     const milliseconds pause =
         isHistoryCompacted(e) ? ResyncDelay : health.recordFailure(e);
     co_await sleepFor(pause);
--- a/src/gateway/store-watch.h
+++ b/src/gateway/store-watch.h
@@ -1,5 +1,5 @@
-/// Store watch: keeps the config and the list of servers up to date from the
-/// platform's store, and asks again when it is away.
+/// Store watch: keeps the config and the server list in sync with the
+/// platform's store, and retries with backoff while the store is unreachable.
 #pragma once
 
 #include "gateway-context.h"
@@ -8,10 +8,11 @@
 
 namespace drumlanding::gateway {
 
-/// Follows the operators' config until the process ends.
+/// Watches the operators' config until the process exits.
 asio::awaitable<void> watchConfig(GatewayContext &ctx);
 
-/// Follows the list of servers until the process ends.
+/// Watches the server list until the process exits, or idles while peers watch
+/// it for this gateway.
 asio::awaitable<void> watchServers(GatewayContext &ctx);
 
 } // namespace drumlanding::gateway
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -15,7 +15,8 @@
 
 constexpr int HttpOk = 200;
 
-/// A stream on its way; the functions below are its steps.
+/// Forwards one stream: opens it at a server, relays its events, and resumes it
+/// after a migration.
 class StreamForwarder {
 public:
   StreamForwarder(ForwardedRequest &f, http::Exchange &x, Migrator &migrator)
@@ -53,7 +54,7 @@
   ServerAnswer Head;
   bool IsHeadSent = false;
   base::Instant LastEventAt{};
-  /// From the request to its first event; 0 before that.
+  /// Time from the request to the first event; 0 until the first event arrives.
   base::Duration TimeToFirstEvent{0};
   base::Duration MaxPause{0};
 };
@@ -74,7 +75,8 @@
   Run->Server.clear();
 }
 
-/// Other runs on a server that leaves wait for their turn to move.
+/// Notifies the peers when this run's progress may let other runs on a leaving
+/// server migrate: runs there migrate one after another.
 void StreamForwarder::notifyIfLeaving() {
   const Server *server = Ctx.Servers.find(Run->Server);
   if (server && server->IsLeaving && Ctx.NotifyPeers)
@@ -110,7 +112,8 @@
   co_return attempt;
 }
 
-/// Finds a server that takes the stream; false when the request is over.
+/// Opens the stream at a server, retrying as the attempt policy allows. Returns
+/// false when the request has been answered or aborted.
 asio::awaitable<bool> StreamForwarder::openStream() {
   for (;;) {
     const Demand demand{F.Request.PromptTokens, F.Request.ExpectedTokens};
@@ -139,7 +142,8 @@
     Ctx.Servers.closed(id);
     F.TriedServers.push_back(id);
     bool isOpen = attempt.End == AttemptEnd::Served && !attempt.Response;
-    // A move may have taken the run away before it answered.
+    // The connection may have ended because the run migrated before the server
+    // sent a response head.
     if (attempt.End == AttemptEnd::Broken)
       isOpen = co_await resume();
     if (isOpen) {
@@ -228,7 +232,9 @@
   }
 }
 
-/// Goes on at another server after a connection's end; false when it cannot.
+/// Resumes the stream after its connection has ended: at the migration's
+/// destination, or at the source when the destination fails. Returns false when
+/// the stream cannot be resumed.
 asio::awaitable<bool> StreamForwarder::resume() {
   while (Run->IsMigrating && !F.isAborted()) {
     boost::system::error_code ec;
@@ -246,7 +252,7 @@
     if (isDone)
       co_return true;
   }
-  // The source has stopped and keeps the memory for a while.
+  // The source has stopped the run and keeps its KV cache for a limited time.
   const Server *stopped = Ctx.Servers.find(source);
   if (!stopped || source == Run->ResumeServer || F.isAborted())
     co_return false;
--- a/src/gateway/stream-forwarder.h
+++ b/src/gateway/stream-forwarder.h
@@ -1,5 +1,5 @@
-/// Stream forwarder: passes a stream of events on as they arrive, from one
-/// server after another when the generation moves.
+/// Stream forwarder: relays a stream of server-sent events to the caller. When
+/// the generation migrates to another server, the stream resumes from there.
 #pragma once
 
 #include "forwarded-request.h"
