--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -32,10 +32,10 @@
 /// request immediately.
 constexpr milliseconds LeavingRetryAfter{20};
 
-milliseconds retryAfter(Reason why) {
-  if (why == Reason::NotReady)
+milliseconds retryAfter(Reason reason) {
+  if (reason == Reason::NotReady)
     return NotReadyRetryAfter;
-  return why == Reason::Leaving ? LeavingRetryAfter : DefaultRetryAfter;
+  return reason == Reason::Leaving ? LeavingRetryAfter : DefaultRetryAfter;
 }
 constexpr int HighestPriority = 0;
 constexpr int LowestPriority = 9;
@@ -160,23 +160,24 @@
 }
 
 http::Response makeRefusal(const ForwardedRequest &f, Verdict verdict,
-                           Reason why) {
+                           Reason reason) {
   constexpr int NotRunStatus = 503;
   constexpr int ExpiredStatus = 504;
   constexpr int MayHaveRunStatus = 502;
   http::Response response;
   response.Status = MayHaveRunStatus;
-  if (why == Reason::Expired)
+  if (reason == Reason::Expired)
     response.Status = ExpiredStatus;
   if (verdict == Verdict::NotRun)
     response.Status = NotRunStatus;
   response.ContentType = "text/plain";
-  response.Body = std::string(base::explain(why)) + "\n";
+  response.Body = std::string(base::explain(reason)) + "\n";
   if (verdict == Verdict::NotRun)
     response.Headers.push_back(
         {"Retry-After",
-         fmt::format("{:.2f}",
-                     std::chrono::duration<double>(retryAfter(why)).count())});
+         fmt::format(
+             "{:.2f}",
+             std::chrono::duration<double>(retryAfter(reason)).count())});
   response.Headers.push_back(
       {"Drumlanding-Verdict", std::string(toString(verdict))});
   f.Ctx.Codec.MarkAnswer(f.Request, response);
--- a/src/gateway/forwarded-request.h
+++ b/src/gateway/forwarded-request.h
@@ -77,7 +77,8 @@
   std::optional<CompleteResponse> Response;
 };
 
-/// Connects to a server within the remaining time; returns null on failure.
+/// Connects to a server within the remaining time and at most ConnectTimeout.
+/// Returns null on failure.
 asio::awaitable<std::shared_ptr<http::Connection>>
 connectTo(ForwardedRequest &f, Server server);
 
@@ -105,7 +106,7 @@
 /// Builds the gateway's own response when there is no server response to
 /// deliver.
 http::Response makeRefusal(const ForwardedRequest &f, base::Verdict verdict,
-                           base::Reason why);
+                           base::Reason reason);
 
 /// Converts a server's response to the response to the caller.
 http::Response toResponse(CompleteResponse answer);
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -35,10 +35,10 @@
   f->ReceivedAt = Ctx.now();
   if (Ctx.IsLeaving)
     x.closeAfter();
-  if (auto answer = admit(*f)) {
-    Ctx.Codec.MarkAnswer(f->Request, *answer);
-    logRequestEnd(*f, answer->Status, "not admitted");
-    co_await x.send(std::move(*answer));
+  if (auto response = admit(*f)) {
+    Ctx.Codec.MarkAnswer(f->Request, *response);
+    logRequestEnd(*f, response->Status, "not admitted");
+    co_await x.send(std::move(*response));
     co_return;
   }
   ++Ctx.OpenRequests;
@@ -170,13 +170,13 @@
 }
 
 void Forwarder::logRequestEnd(const ForwardedRequest &f, int status,
-                              std::string_view why) {
+                              std::string_view cause) {
   Ctx.Log.write(
       "request-ended",
       {{"request", f.Request.AttemptId},
        {"route", f.MatchedRoute ? std::string_view(f.MatchedRoute->Name) : ""},
        {"status", status},
-       {"why", why},
+       {"why", cause},
        {"sends", f.Sends},
        {"ms", base::toMs(Ctx.now() - f.ReceivedAt)}});
   countCall(Ctx.Metrics,
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -25,7 +25,7 @@
   asio::awaitable<Attempt> attemptCall(ForwardedRequest &f, Server server);
   const Server *chooseServer(ForwardedRequest &f);
   void logRequestEnd(const ForwardedRequest &f, int status,
-                     std::string_view why);
+                     std::string_view cause);
 
   GatewayContext &Ctx;
   Migrator &Migrations;
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -126,17 +126,17 @@
       static_cast<std::uint64_t>(base::toMs(now - Ctx.Servers.steadySince())));
   message.set_list_digest(Ctx.Servers.digest());
   message.set_watches_list(Ctx.hasStoreContact());
-  for (const ServerLife &life : Ctx.Servers.leaving(now)) {
+  for (const ServerLife &instance : Ctx.Servers.leaving(now)) {
     wire::ServerLife &out = *message.add_leaving_servers();
-    out.set_id(life.Id);
-    out.set_born_ms(static_cast<std::uint64_t>(life.BornAt.count()));
+    out.set_id(instance.Id);
+    out.set_born_ms(static_cast<std::uint64_t>(instance.BornAt.count()));
   }
-  for (const AvoidedServer &avoided : Ctx.Servers.avoided(now)) {
+  for (const AvoidedServer &ejected : Ctx.Servers.avoided(now)) {
     wire::Avoided &out = *message.add_avoided();
-    out.set_server(avoided.Id);
-    out.set_broken_answers(static_cast<std::uint32_t>(avoided.BrokenAnswers));
-    out.set_left_ms(static_cast<std::uint64_t>(avoided.Left.count()));
-    out.set_born_ms(static_cast<std::uint64_t>(avoided.BornAt.count()));
+    out.set_server(ejected.Id);
+    out.set_broken_answers(static_cast<std::uint32_t>(ejected.BrokenAnswers));
+    out.set_left_ms(static_cast<std::uint64_t>(ejected.Left.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(ejected.BornAt.count()));
   }
   return message;
 }
@@ -205,13 +205,13 @@
                                  const Datagrams::Sender &from) {
   const base::Instant now = Ctx.now();
   Ctx.Servers.applyNotice(now, fromWire(message.notice()));
-  wire::Gossip answer;
-  answer.set_name(Ctx.Settings.Name);
-  answer.set_address(base::toString(Ctx.Settings.ControlListen));
-  answer.set_incarnation(Ctx.Incarnation);
+  wire::Gossip reply;
+  reply.set_name(Ctx.Settings.Name);
+  reply.set_address(base::toString(Ctx.Settings.ControlListen));
+  reply.set_incarnation(Ctx.Incarnation);
   for (const Peer &peer : Ctx.GatewayPeers.live(now))
-    answer.add_peers(base::toString(peer.Address));
-  Socket->answer(from, answer.SerializeAsString());
+    reply.add_peers(base::toString(peer.Address));
+  Socket->answer(from, reply.SerializeAsString());
 }
 
 void Gossip::handleDatagram(std::string_view datagram,
@@ -230,9 +230,9 @@
     return;
   // A gateway that has just started has no state yet.
   if (senderState == Peers::Heard::Newcomer && !message.is_last()) {
-    wire::Gossip all = makeStatusMessage();
-    addFullState(all, Ctx.Runs.ownRuns());
-    Socket->answer(from, all.SerializeAsString());
+    wire::Gossip fullState = makeStatusMessage();
+    addFullState(fullState, Ctx.Runs.ownRuns());
+    Socket->answer(from, fullState.SerializeAsString());
   }
   applyRuns(now, message);
   applyServers(now, message);
@@ -252,13 +252,14 @@
 }
 
 void Gossip::applyServers(base::Instant now, const wire::Gossip &message) {
-  for (const wire::ServerLife &life : message.leaving_servers())
-    Ctx.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
-  for (const wire::Avoided &avoided : message.avoided())
-    Ctx.Servers.applyAvoided(now, {avoided.server(),
-                                   static_cast<int>(avoided.broken_answers()),
-                                   milliseconds(avoided.left_ms()),
-                                   milliseconds(avoided.born_ms())});
+  for (const wire::ServerLife &instance : message.leaving_servers())
+    Ctx.Servers.markLeaving(now,
+                            {instance.id(), milliseconds(instance.born_ms())});
+  for (const wire::Avoided &ejected : message.avoided())
+    Ctx.Servers.applyAvoided(now, {ejected.server(),
+                                   static_cast<int>(ejected.broken_answers()),
+                                   milliseconds(ejected.left_ms()),
+                                   milliseconds(ejected.born_ms())});
   // A peer's contact with the store counts as well: only a store that no
   // gateway reaches has an outage, not one that only this gateway cannot reach.
   if (message.watches_list())
@@ -303,9 +304,9 @@
   }
 }
 
-void Gossip::recordFetchFailure(const Peer &from, std::string_view what) {
+void Gossip::recordFetchFailure(const Peer &from, std::string_view resource) {
   Ctx.GatewayPeers.failed(Ctx.now(), from);
-  Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
+  Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", resource}});
 }
 
 asio::awaitable<void> Gossip::fetchConfig(Peer from) {
--- a/src/gateway/gossip.h
+++ b/src/gateway/gossip.h
@@ -43,7 +43,7 @@
   void adoptListAge(base::Instant now, const wire::Gossip &message);
   asio::awaitable<void> tickLoop();
   asio::awaitable<void> fetchLoop();
-  void recordFetchFailure(const Peer &from, std::string_view what);
+  void recordFetchFailure(const Peer &from, std::string_view resource);
   asio::awaitable<void> fetchConfig(Peer from);
   asio::awaitable<void> fetchServers(Peer from);
 
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -13,39 +13,40 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(node_file, "",
-              "[process] file of settings, one --flag=value a line");
+              "[process] settings file with one --flag=value per line");
 DEFINE_string(listen, "", "[network] IP:port for callers (HTTP)");
 DEFINE_string(ready_listen, "",
-              "[network] IP:port at which the balancer asks for readiness");
+              "[network] IP:port of the readiness check for the load balancer");
 DEFINE_string(gateway_listen, "",
               "[network] IP:port for the other gateways (UDP and HTTP)");
 DEFINE_string(metrics_listen, "",
-              "[network] IP:port that tells the metrics, beside the control "
-              "address; empty for none");
+              "[network] additional IP:port that serves the metrics, which "
+              "--gateway_listen always serves; empty for none");
 DEFINE_string(platform, "", "[network] IP:port of the platform's store");
-DEFINE_string(seeds, "",
-              "[network] addresses of some gateways, separated by commas");
+DEFINE_string(
+    seeds, "",
+    "[network] addresses of some gateways (IP:port), separated by commas");
 DEFINE_int32(sidecar_port, 0,
-             "[network] UDP port of the processes beside engines, 1 to 65535; "
-             "0 when there are none");
+             "[network] UDP port of the engines' sidecars, 1 to 65535; 0 when "
+             "there are no sidecars");
 DEFINE_double(retry_part, 0.2,
-              "[decisions] second sends for each request, 0 to 1");
+              "[decisions] allowed retries per request, 0 to 1");
 DEFINE_double(retry_extra, 0,
-              "[decisions] second sends that all gateways together may add in "
-              "a window, 0 or more");
+              "[decisions] additional retries per window for all gateways "
+              "together, 0 or more");
 DEFINE_double(retry_window_s, 10,
-              "[decisions] that window in seconds, 1 to 60");
+              "[decisions] window of the retry budget in seconds, 1 to 60");
 DEFINE_int32(drain_ms, 2000,
-             "[decisions] time that a server serves after it said that it "
-             "leaves, in ms, 100 to 600000");
+             "[decisions] time that a server keeps serving after it has "
+             "announced that it leaves, in ms, 100 to 600000");
 DEFINE_int32(config_apply_ms, 2000,
-             "[decisions] time in which a config that the store has taken is "
-             "to be in force, in ms, 100 to 600000");
+             "[decisions] time limit for applying a config after the store has "
+             "accepted it, in ms, 100 to 600000");
 DEFINE_int32(renewal_ms, 1200,
-             "[decisions] how often servers renew their entries in the store, "
-             "in ms, 10 to 600000");
+             "[decisions] interval at which servers renew their entries in the "
+             "store, in ms, 10 to 600000");
 DEFINE_double(grace_s, 8,
-              "[process] seconds from the order to stop to the kill, 1 to 600");
+              "[process] seconds from the stop signal to the kill, 1 to 600");
 
 namespace {
 
@@ -163,8 +164,8 @@
     Timer.async_wait([this](boost::system::error_code ec) {
       if (ec)
         return;
-      if (const auto at = lastWriteTime(); at != LastWriteTime) {
-        LastWriteTime = at;
+      if (const auto writeTime = lastWriteTime(); writeTime != LastWriteTime) {
+        LastWriteTime = writeTime;
         OnChange();
       }
       waitForChange();
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -143,8 +143,8 @@
 }
 
 void Migrator::onRunsChanged() {
-  for (asio::steady_timer &check : TurnTimers)
-    check.cancel();
+  for (asio::steady_timer &timer : TurnTimers)
+    timer.cancel();
 }
 
 asio::awaitable<MoveAnswer> Migrator::copyKvCache(StreamRunPointer run,
@@ -157,23 +157,23 @@
   const base::Instant startedAt = Ctx.now();
   http::Fetched fetched = co_await http::fetch(source.Listed.Address,
                                                std::move(request), CopyTimeout);
-  const MoveAnswer answer = Ctx.Codec.ReadMove(fetched.Answer);
+  const MoveAnswer response = Ctx.Codec.ReadMove(fetched.Answer);
   countMigrationStep(Ctx.Metrics, isLast ? "copied last" : "copied",
-                     answer.What == Outcome::Copied);
+                     response.What == Outcome::Copied);
   Ctx.Log.write("move-copied", {{"request", run->F.Request.AttemptId},
                                 {"from", source.Listed.Id},
                                 {"to", destination.Listed.Id},
                                 {"last", isLast},
-                                {"outcome", static_cast<int>(answer.What)},
-                                {"events", answer.EventsMade},
+                                {"outcome", static_cast<int>(response.What)},
+                                {"events", response.EventsMade},
                                 {"ms", base::toMs(Ctx.now() - startedAt)}});
-  co_return answer;
+  co_return response;
 }
 
-/// Copies repeatedly until a copy takes no longer than expected, that is, the
-/// link is free, or until the time before the shutdown is needed for the final
-/// copy. Returns false when the destination accepts no copy or the run has left
-/// the source.
+/// Copies, at most MaxCopies times, until a copy is not delayed by others on
+/// the link or until the time before the shutdown is needed for the final copy.
+/// Returns false when the destination accepts no copy or the run has left the
+/// source.
 asio::awaitable<bool> Migrator::copyWhileRunning(StreamRunPointer run,
                                                  Server source,
                                                  Server destination) {
@@ -184,16 +184,16 @@
     // to transfer everything.
     if (startedAt + expected + FinalCopyTime > shutdownAt(source))
       co_return true;
-    const MoveAnswer answer =
+    const MoveAnswer response =
         co_await copyKvCache(run, source, destination, false);
     if (!run->isRunningOn(source.Listed.Id)) {
-      if (answer.What == Outcome::Copied)
-        co_await freeCopy(source.Listed.Address, answer.Handle);
+      if (response.What == Outcome::Copied)
+        co_await freeCopy(source.Listed.Address, response.Handle);
       co_return false;
     }
-    if (answer.What == Outcome::NoRoom || answer.What == Outcome::Failed)
+    if (response.What == Outcome::NoRoom || response.What == Outcome::Failed)
       co_return false;
-    const bool isCopied = answer.What == Outcome::Copied;
+    const bool isCopied = response.What == Outcome::Copied;
     if (isCopied && Ctx.now() - startedAt < expected + QueueingSlack)
       co_return true;
     if (isCopied)
@@ -242,14 +242,14 @@
   const bool isOnSource = run->isRunningOn(source.Listed.Id);
   if (!isOnSource || !isCopied)
     co_return !isOnSource;
-  const MoveAnswer answer =
+  const MoveAnswer response =
       co_await copyKvCache(run, source, destination, true);
-  if (answer.Handle.empty())
+  if (response.Handle.empty())
     co_return false;
   // When only the final copy failed, the source has stopped the run and kept
   // its KV cache: the run resumes there.
-  const bool isComplete = answer.What == Outcome::Copied;
-  run->ResumeFrom = Continuation{source.Listed.Address, answer.Handle, 0};
+  const bool isComplete = response.What == Outcome::Copied;
+  run->ResumeFrom = Continuation{source.Listed.Address, response.Handle, 0};
   run->ResumeServer = isComplete ? destination.Listed.Id : source.Listed.Id;
   // Released only now: the next run's copy would delay this final, short one.
   releaseTurn(run, run->ResumeServer);
--- a/src/gateway/migrator.h
+++ b/src/gateway/migrator.h
@@ -38,7 +38,8 @@
   /// Cancelled when a migration ends.
   asio::steady_timer MigrationEnded;
 
-  /// Returns whether the run is still active and placed on that server.
+  /// Returns whether the run has not ended and is, as far as is known, on that
+  /// server.
   bool isRunningOn(const std::string &server) const {
     return !HasEnded && Server == server;
   }
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -61,10 +61,10 @@
 }
 
 base::Result<base::Done> Shell::listen() {
-  auto talk = Gossip::start(Ctx);
-  if (!ok(talk))
-    return error(talk);
-  PeerGossip = std::move(value(talk));
+  auto gossip = Gossip::start(Ctx);
+  if (!ok(gossip))
+    return error(gossip);
+  PeerGossip = std::move(value(gossip));
   http::ServerOptions options;
   options.CurrentLimits = [this] {
     return Ctx.Routes ? Ctx.Routes->config().Limits : http::CallerLimits();
@@ -90,14 +90,14 @@
 base::Result<base::Done> Shell::listenForMetrics() {
   if (!Ctx.Settings.MetricsListen)
     return base::Done{};
-  const auto answer = [this](http::Request r,
-                             http::Exchange &x) -> asio::awaitable<void> {
+  const auto servePage = [this](http::Request r,
+                                http::Exchange &x) -> asio::awaitable<void> {
     auto page = metricsPage(Ctx, r);
-    http::Response none{404, "text/plain", "no such page\n", {}};
-    co_await x.send(std::move(page ? *page : none));
+    http::Response notFound{404, "text/plain", "no such page\n", {}};
+    co_await x.send(std::move(page ? *page : notFound));
   };
   auto pages =
-      http::Server::listen(Ctx.Io, *Ctx.Settings.MetricsListen, {}, answer);
+      http::Server::listen(Ctx.Io, *Ctx.Settings.MetricsListen, {}, servePage);
   if (!ok(pages))
     return error(pages);
   MetricsServer = std::move(value(pages));
@@ -114,21 +114,22 @@
   co_await x.send(std::move(response));
 }
 
-void Shell::reload(const base::Result<GatewaySettings> &read) {
-  if (!ok(read)) {
-    Ctx.Log.write("settings-rejected", {{"why", describe(error(read))}});
+void Shell::reload(const base::Result<GatewaySettings> &settings) {
+  if (!ok(settings)) {
+    Ctx.Log.write("settings-rejected", {{"why", describe(error(settings))}});
     return;
   }
-  const GatewaySettings &fresh = value(read);
-  const bool needsRestart = fresh.Listen != Ctx.Settings.Listen ||
-                            fresh.ReadyListen != Ctx.Settings.ReadyListen ||
-                            fresh.ControlListen != Ctx.Settings.ControlListen ||
-                            fresh.StoreAddress != Ctx.Settings.StoreAddress;
-  Ctx.Settings.Retries = fresh.Retries;
-  Ctx.Settings.DrainTime = fresh.DrainTime;
-  Ctx.Settings.MaxConfigApplyTime = fresh.MaxConfigApplyTime;
-  Ctx.Settings.TerminationGracePeriod = fresh.TerminationGracePeriod;
-  Ctx.Budget.setOptions(fresh.Retries);
+  const GatewaySettings &updated = value(settings);
+  const bool needsRestart =
+      updated.Listen != Ctx.Settings.Listen ||
+      updated.ReadyListen != Ctx.Settings.ReadyListen ||
+      updated.ControlListen != Ctx.Settings.ControlListen ||
+      updated.StoreAddress != Ctx.Settings.StoreAddress;
+  Ctx.Settings.Retries = updated.Retries;
+  Ctx.Settings.DrainTime = updated.DrainTime;
+  Ctx.Settings.MaxConfigApplyTime = updated.MaxConfigApplyTime;
+  Ctx.Settings.TerminationGracePeriod = updated.TerminationGracePeriod;
+  Ctx.Budget.setOptions(updated.Retries);
   Ctx.Log.write("settings-taken", {{"needs_restart", needsRestart}});
 }
 
--- a/src/gateway/shell.h
+++ b/src/gateway/shell.h
@@ -18,8 +18,9 @@
   /// times. New addresses need a restart.
   void reload(const base::Result<GatewaySettings> &settings);
 
-  /// Stops accepting connections after the load balancer has removed this
-  /// gateway, waits for open requests, and stops the io_context.
+  /// Closes callers' connections after their responses, stops accepting new
+  /// ones once the load balancer has removed this gateway, and stops the
+  /// io_context when no request is open or the stop deadline has passed.
   void shutDown();
 
   /// Returns the gateway's state, for tests.
--- a/src/gateway/store-watch.cc
+++ b/src/gateway/store-watch.cc
@@ -57,7 +57,7 @@
     Backoff = InitialBackoff;
   }
 
-  /// Returns the delay before the next call.
+  /// Records a failed call and returns the delay before the next one.
   milliseconds recordFailure(const base::Error &e) {
     countStoreCall(Ctx.Metrics, Resource, false);
     if (!IsUnreachable)
@@ -94,8 +94,8 @@
   ctx.ListConfirmedAt = now;
 }
 
-/// Logs an entry that names no usable server, once until the entry is usable
-/// again.
+/// Logs an entry that names no usable server. Not repeated until the entry
+/// becomes usable or the list is read again.
 void logIfUnusable(GatewayContext &ctx, const ServerChange &change) {
   if (change.Problem.empty()) {
     ctx.UnusableEntryIds.erase(change.Id);
@@ -166,21 +166,21 @@
   if (first.index() == 0)
     co_return std::get<0>(std::move(first));
   co_return base::Error{base::ErrorCode::NotFound, "config",
-                        "no other gateway reads the store"};
+                        "no peer watches the store"};
 }
 
 /// Applies config changes after a revision until a watch fails or is abandoned.
 asio::awaitable<base::Error>
 followConfig(GatewayContext &ctx, StoreHealth &health, std::uint64_t revision) {
   for (;;) {
-    auto changed = co_await waitForConfigChange(ctx, revision);
-    if (!ok(changed))
-      co_return error(changed);
+    auto change = co_await waitForConfigChange(ctx, revision);
+    if (!ok(change))
+      co_return error(change);
     health.recordSuccess();
     ctx.ConfigConfirmedAt = ctx.now();
-    revision = value(changed).Revision;
-    if (!value(changed).Text.empty())
-      ctx.applyConfig(std::move(value(changed).Text), "store");
+    revision = value(change).Revision;
+    if (!value(change).Text.empty())
+      ctx.applyConfig(std::move(value(change).Text), "store");
   }
 }
 
@@ -189,15 +189,16 @@
                                            std::uint64_t revision) {
   do {
     co_await sleepFor(ChangeBatchDelay);
-    const auto changed =
+    const auto changes =
         co_await ctx.Store.WatchServers(revision, ListWatchWait);
-    if (!ok(changed))
-      co_return error(changed);
+    if (!ok(changes))
+      co_return error(changes);
     health.recordSuccess();
-    revision = value(changed).Revision;
-    applyChanges(ctx, value(changed));
+    revision = value(changes).Revision;
+    applyChanges(ctx, value(changes));
   } while (ctx.WatchesList);
-  co_return base::Error{base::ErrorCode::NotFound, "servers", "others watch"};
+  co_return base::Error{base::ErrorCode::NotFound, "servers",
+                        "peers watch the list"};
 }
 
 } // namespace
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -44,7 +44,7 @@
   void registerRun(const std::string &server);
   void unregisterRun();
   void notifyIfLeaving();
-  void logStreamEnd(std::string_view how);
+  void logStreamEnd(std::string_view outcome);
 
   ForwardedRequest &F;
   GatewayContext &Ctx;
@@ -286,15 +286,15 @@
   co_return true;
 }
 
-void StreamForwarder::logStreamEnd(std::string_view how) {
+void StreamForwarder::logStreamEnd(std::string_view outcome) {
   Ctx.Log.write("stream-ended", {{"request", F.Request.AttemptId},
                                  {"route", F.MatchedRoute->Name},
                                  {"server", Run->Server},
-                                 {"how", how},
+                                 {"how", outcome},
                                  {"events", Run->Events.events()},
                                  {"longest_pause_ms", base::toMs(MaxPause)},
                                  {"ms", base::toMs(Ctx.now() - F.ReceivedAt)}});
-  countStream(Ctx.Metrics, {F.MatchedRoute->Name, how, TimeToFirstEvent,
+  countStream(Ctx.Metrics, {F.MatchedRoute->Name, outcome, TimeToFirstEvent,
                             MaxPause, Ctx.now() - F.ReceivedAt});
 }
 
--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -1,6 +1,7 @@
-// A whole gateway in one process, before servers of the test's own on loopback:
-// requests, streams and moves, with each thing that can go wrong on the way.
-// Waits are on conditions; no test depends on how long something takes.
+// Runs a complete gateway against test servers on loopback: requests, streams
+// and migrations, with the faults that can occur in each. Tests wait for
+// conditions instead of fixed times; only the test of the resync delay measures
+// a rate.
 #include "platform/dialect.h"
 #include "shell.h"
 
@@ -24,10 +25,11 @@
 using daemon::sleepFor;
 namespace ip = asio::ip;
 
-/// Longer than any test needs, so that a hang ends as a failure.
+/// Time limit after which a hanging test fails.
 constexpr seconds TestLimit{20};
 constexpr milliseconds PollInterval{2};
-/// A moved stream must last longer than the news of a leaving server takes.
+/// A migrating stream must last longer than the change to a leaving server
+/// takes to arrive.
 constexpr int MigrationEvents = 300;
 
 base::Endpoint freeEndpoint() {
@@ -41,31 +43,31 @@
          "\n\n";
 }
 
-/// What goes wrong while a generation moves.
+/// Faults during the migration of a generation.
 enum class MigrationFault {
   None,
-  NoRunYet,           ///< The first copies find no run.
-  NoRoom,             ///< The destination takes nothing.
-  CopyHangs,          ///< The first copy hangs.
-  FinalCopyFails,     ///< The last copy fails; the source keeps the memory.
-  FinalResponseLost,  ///< The source has stopped, and nobody hears of it.
-  DestinationRefuses, ///< The copy is there, and its server does not take it.
-  DestinationDies,    ///< It breaks off after the first event.
-  SourceDies,         ///< It dies before the last copy.
+  NoRunYet,           ///< The source has no such run for the first two copies.
+  NoRoom,             ///< The destination has no room.
+  CopyHangs,          ///< The source never answers a copy request.
+  FinalCopyFails,     ///< The final copy fails; the source keeps the KV cache.
+  FinalResponseLost,  ///< The source stops the run, but its response is lost.
+  DestinationRefuses, ///< The destination refuses to resume from the copy.
+  DestinationDies,    ///< The resumed stream is interrupted after one event.
+  SourceDies,         ///< The source dies before the final copy.
 };
 
-/// A server of the test's own: an engine that streams numbered events, or a
-/// plain service with a handler.
+/// A test server: an engine that streams numbered events, or a server of a
+/// plain service when OnRequest is set.
 class TestServer {
 public:
   TestServer(asio::io_context &io, std::string id, std::string service)
       : Io(io), Id(std::move(id)), Service(std::move(service)),
         Address(freeEndpoint()) {
-    auto made = http::Server::listen(
+    auto listener = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
         });
-    Listener = std::move(value(made));
+    Listener = std::move(value(listener));
   }
 
   ListedServer listed(ServerState state = ServerState::Ready) const {
@@ -94,7 +96,7 @@
   std::vector<http::Request> Requests;
   std::function<asio::awaitable<void>(http::Request, http::Exchange &)>
       OnRequest;
-  /// Engines.
+  /// Used by engines only.
   int Events = 30;
   int Disconnects = 0;
   bool IsStopped = false;
@@ -103,7 +105,8 @@
   MigrationFault Fault = MigrationFault::None;
 
 private:
-  // GCC 12 destroys the temporaries of braced lists beside co_await twice.
+  // Needed because GCC 12 destroys temporaries of braced initializer lists in a
+  // co_await expression twice.
   static asio::awaitable<void> sendJson(http::Exchange &x, int status,
                                         std::string body) {
     http::Response response;
@@ -198,7 +201,7 @@
   co_await x.send(std::move(response));
 }
 
-/// Answers with a part of a body and breaks the connection off.
+/// Sends part of a body and closes the connection.
 asio::awaitable<void> sendTruncated(TestServer &server, http::Request request,
                                     http::Exchange &x) {
   std::vector<http::Header> headers =
@@ -209,7 +212,7 @@
 
 asio::awaitable<void> hang() { co_await sleepFor(TestLimit); }
 
-/// What a caller has received of a stream.
+/// The events of a stream that a caller has received, and how the stream ended.
 struct ReceivedStream {
   std::vector<std::string> Ids;
   http::StreamEnd End;
@@ -310,7 +313,7 @@
     ReadyAddress = settings.ReadyListen;
   }
 
-  /// Runs until the coroutine has ended.
+  /// Runs the io_context until the coroutine has ended; fails after TestLimit.
   template <typename Body> void runTest(Body body) {
     bool isDone = false;
     asio::co_spawn(
@@ -399,8 +402,9 @@
   });
 }
 
-/// A gateway that starts when the config is older than the store's history: it
-/// asked some hundred times a second.
+/// Guards against resyncs without a delay. A gateway that started when the
+/// config was older than the store's compacted history read it some hundred
+/// times a second.
 TEST_F(ForwardingTest, ConfigIsRereadWithDelayAfterHistoryCompaction) {
   int reads = 0;
   WatchConfig = [](std::uint64_t, milliseconds) -> Source::Answer<ConfigText> {
@@ -409,8 +413,8 @@
   OnReadConfig = [&] { ++reads; };
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
-    constexpr milliseconds While{500};
-    co_await sleepFor(While);
+    constexpr milliseconds ObservationTime{500};
+    co_await sleepFor(ObservationTime);
     EXPECT_GE(reads, 1);
     EXPECT_LE(reads, 5);
   });
@@ -444,10 +448,10 @@
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    const http::Response none = co_await call(request("GET", "/once/x"));
-    EXPECT_EQ(none.Status, 401);
-    const http::Response lost = co_await call(request("GET", "/nowhere"));
-    EXPECT_EQ(lost.Status, 404);
+    const http::Response withoutKey = co_await call(request("GET", "/once/x"));
+    EXPECT_EQ(withoutKey.Status, 401);
+    const http::Response notFound = co_await call(request("GET", "/nowhere"));
+    EXPECT_EQ(notFound.Status, 404);
     EXPECT_TRUE(Servers[0]->Requests.empty());
   });
 }
@@ -564,10 +568,10 @@
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
     co_await waitUntilReady();
-    ListedServer gone = shop.listed();
-    gone.Id = "s0";
-    gone.Address = freeEndpoint();
-    Changes.push_back({"s0", gone});
+    ListedServer unreachable = shop.listed();
+    unreachable.Id = "s0";
+    unreachable.Address = freeEndpoint();
+    Changes.push_back({"s0", unreachable});
     co_await waitUntil([&] { return Gateway->context().Servers.find("s0"); });
     for (int i = 0; i < 6; ++i) {
       const http::Response r = co_await call(request("POST", "/once/x"));
@@ -654,8 +658,8 @@
   });
 }
 
-/// A move under each fault: every event arrives at most once and in order, and
-/// the answer is whole exactly when all of them came.
+/// Migrations under each fault: every event arrives at most once and in order,
+/// and the stream ends normally exactly when all events have arrived.
 class MigrationTest : public ForwardingTest,
                       public testing::WithParamInterface<MigrationFault> {};
 
--- a/test/store-session-test.cc
+++ b/test/store-session-test.cc
@@ -1,5 +1,5 @@
-// A whole gateway before a stand-in for the platform's store, whose connections
-// go silent or which does not answer this gateway alone.
+// Runs a complete gateway against a fake of the platform's store whose open
+// connections go silent or which is unreachable for this gateway only.
 #include "gateway.pb.h"
 #include "platform/dialect.h"
 #include "platform/source.h"
@@ -24,17 +24,17 @@
 using daemon::sleepFor;
 using Json = nlohmann::json;
 
-/// Longer than any test needs, so that a hang ends as a failure.
+/// Time limit after which a hanging test fails.
 constexpr seconds TestLimit{20};
 constexpr milliseconds PollInterval{5};
-/// For how long another gateway has heard the store without an outage.
+/// Time without a store outage that fake peers report.
 constexpr milliseconds OutageFreeTime{60'000};
-/// The stated bounds: a confirmed config is in force, and a server that has
-/// left gets no requests, after this time.
+/// The guaranteed limits: time until a confirmed config is in force, and time
+/// until a server that has left gets no more requests.
 constexpr milliseconds MaxConfigApplyTime{2'000};
 constexpr milliseconds MaxDrainTime{2'000};
-/// A gateway is in touch again this long after its connections have gone
-/// silent.
+/// Time limit for a gateway to reach the store again after its connections have
+/// gone silent.
 constexpr milliseconds MaxReconnectTime{3'000};
 
 base::Endpoint freeEndpoint() {
@@ -48,15 +48,16 @@
   co_await x.send(std::move(response));
 }
 
-/// The store's published interface, as far as gateways use it.
+/// A fake of the platform's store: the part of its published interface that
+/// gateways use.
 class FakeStore {
 public:
   explicit FakeStore(asio::io_context &io) : Address(freeEndpoint()) {
-    auto made = http::Server::listen(
+    auto listener = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
         });
-    Listener = std::move(value(made));
+    Listener = std::move(value(listener));
   }
 
   void put(const std::string &key, std::string value) {
@@ -65,11 +66,11 @@
 
   void remove(const std::string &key) { Entries[key] = {"", ++Revision, true}; }
 
-  /// Connections that are open now never answer; new ones do.
+  /// Stops answering on connections that are open now; new connections work.
   void silenceOpenConnections() { ++ConnectionEpoch; }
 
   base::Endpoint Address;
-  /// No call is answered.
+  /// When set, calls are accepted and never answered.
   bool IsUnreachable = false;
 
 private:
@@ -125,12 +126,12 @@
     const std::string prefix(request.query("pathPrefix"));
     const auto after = std::stoull(std::string(request.query("sinceRev")));
     const milliseconds wait(std::stoll(std::string(request.query("waitMs"))));
-    const int generation = ConnectionEpoch;
+    const int epoch = ConnectionEpoch;
     Json events = Json::array();
     for (milliseconds waited{0}; events.empty() && waited < wait;
          waited += PollInterval) {
       co_await sleepFor(PollInterval);
-      if (generation != ConnectionEpoch || IsUnreachable) {
+      if (epoch != ConnectionEpoch || IsUnreachable) {
         co_await sleepFor(TestLimit);
         co_return;
       }
@@ -146,16 +147,16 @@
   std::unique_ptr<http::Server> Listener;
 };
 
-/// A plain service's server that counts its requests.
+/// A server of a plain service that counts its requests.
 class CountingServer {
 public:
   CountingServer(asio::io_context &io, std::string id)
       : Id(std::move(id)), Address(freeEndpoint()) {
-    auto made = http::Server::listen(
+    auto listener = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
         });
-    Listener = std::move(value(made));
+    Listener = std::move(value(listener));
   }
 
   Json entry() const {
@@ -182,22 +183,24 @@
   std::unique_ptr<http::Server> Listener;
 };
 
-/// Another gateway, as far as its messages about the list go.
+/// A fake gateway that sends gossip about the server list and serves a list and
+/// a config. Also acts as a sidecar.
 class FakePeer {
 public:
   FakePeer(asio::io_context &io, std::vector<const CountingServer *> listed)
       : Address(freeEndpoint()), Listed(std::move(listed)) {
     auto socket = Datagrams::open(io, Address);
     Socket = std::move(value(socket));
-    auto made = http::Server::listen(
+    auto listener = http::Server::listen(
         io, Address, {}, [this](http::Request r, http::Exchange &x) {
           return serve(std::move(r), x);
         });
-    Listener = std::move(value(made));
+    Listener = std::move(value(listener));
   }
 
-  /// Says that it reads the store, and what has gone from the list.
-  void sendGossip(const base::Endpoint &to, const std::string &gone) {
+  /// Sends gossip that this peer watches the store, and which server was
+  /// removed from the list; empty for none.
+  void sendGossip(const base::Endpoint &to, const std::string &removed) {
     wire::Gossip message;
     message.set_name("peer");
     message.set_address(base::toString(Address));
@@ -205,12 +208,12 @@
     message.set_watches_list(true);
     message.set_steady_ms(OutageFreeTime.count());
     message.set_config_version(ConfigVersion);
-    if (!gone.empty())
-      message.add_gone_servers()->set_id(gone);
+    if (!removed.empty())
+      message.add_gone_servers()->set_id(removed);
     Socket->send(to, message.SerializeAsString());
   }
 
-  /// Says, as the process beside a server, that the server leaves.
+  /// Sends a sidecar's notice that the server is leaving.
   void sendNotice(const base::Endpoint &to, const CountingServer &server) {
     wire::Gossip message;
     wire::EngineNotice &notice = *message.mutable_notice();
@@ -225,7 +228,7 @@
   std::vector<const CountingServer *> Listed;
   std::uint64_t ConfigVersion = 0;
   std::string ConfigText;
-  /// Takes connections and answers nothing.
+  /// When set, HTTP requests are accepted and never answered.
   bool IsSilent = false;
 
 private:
@@ -286,7 +289,7 @@
     asio::co_spawn(Io, renewEntries(), asio::detached);
   }
 
-  /// Servers write their entries all the time.
+  /// Renews the second server's entry periodically, as servers do.
   asio::awaitable<void> renewEntries() {
     constexpr milliseconds RenewalInterval{300};
     for (;;) {
@@ -360,12 +363,12 @@
   base::Endpoint ControlAddress = freeEndpoint();
 };
 
-/// Guards against a gateway that goes on with an old config because its open
+/// Guards against a gateway that keeps an old config because its open
 /// connections to the store have gone silent (issue 17, CONFIG).
 TEST_F(StoreSessionTest, ConfigIsInForceInTimeWhenOpenConnectionsGoSilent) {
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
-    // The watches are open.
+    // By now the watches are open.
     co_await sleepFor(milliseconds(500));
     Store.silenceOpenConnections();
     Store.put("op/config", config(2, {"/old/", "/new/"}));
@@ -375,15 +378,15 @@
   });
 }
 
-/// Guards against a gateway that sends requests to a server that has left
-/// because it takes its own lost session for an outage of the store, though
-/// another gateway reads the store (issue 17, DRAIN).
+/// Guards against a gateway that mistakes its own lost connection for a store
+/// outage, although another gateway reads the store, and therefore sends
+/// requests to a server that has left (issue 17, DRAIN).
 TEST_F(StoreSessionTest, AServerThatLeftGetsNothingFromAGatewayThatIsCutOff) {
   FakePeer peer(Io, {&FirstServer, &SecondServer});
   startGateway({peer.Address});
   runTest([&]() -> asio::awaitable<void> {
     constexpr milliseconds GossipInterval{200};
-    // Longer than any watch waits.
+    // Longer than the duration of the watches that are open.
     constexpr seconds OutageTime{6};
     Store.IsUnreachable = true;
     for (milliseconds t{0}; t < OutageTime; t += GossipInterval) {
@@ -402,8 +405,8 @@
   });
 }
 
-/// Guards against one entry of another writer that hides all others: no list
-/// was taken as long as it stood there.
+/// Guards against one malformed entry of another writer that hides all others:
+/// the gateway rejected every list that contained it.
 TEST_F(StoreSessionTest, AnEntryThatCannotBeReadHidesNoOther) {
   for (const char *bytes : {"", "\xff\xfe", "[]", R"({"backend":3})"})
     Store.put("servers/x" + std::to_string(std::strlen(bytes)), bytes);
@@ -411,8 +414,7 @@
   runTest([&]() -> asio::awaitable<void> {
     co_await call(4);
     EXPECT_EQ(FirstServer.Requests + SecondServer.Requests, 4);
-    // One that was usable turns unreadable: it names no server any
-    // more.
+    // An entry that was usable becomes unreadable: it no longer names a server.
     Store.put("servers/s1", "?");
     co_await sleepFor(MaxDrainTime);
     FirstServer.Requests = 0;
@@ -423,10 +425,11 @@
   });
 }
 
-/// Guards against a gateway whose long watch outlives the gateways that it
-/// relied on (issue 17, CONFIG).
+/// Guards against a gateway that keeps a long watch open after the peers that
+/// watched the store for it have failed (issue 17, CONFIG).
 TEST_F(StoreSessionTest, ALongWatchEndsWhenNoOtherGatewayHearsTheStore) {
-  // Two others with a lower rank follow the store for this one.
+  // Two peers with lower ranks watch the store for this gateway. A gateway's
+  // rank is the hash of its address.
   std::vector<std::unique_ptr<FakePeer>> others;
   const std::uint64_t own = base::hash64(base::toString(ControlAddress));
   while (others.size() < 2) {
@@ -438,8 +441,8 @@
   startGateway({others[0]->Address, others[1]->Address});
   runTest([&]() -> asio::awaitable<void> {
     constexpr milliseconds GossipInterval{100};
-    constexpr seconds QuietTime{2};
-    for (milliseconds t{0}; t < QuietTime; t += GossipInterval) {
+    constexpr seconds PeersActiveTime{2};
+    for (milliseconds t{0}; t < PeersActiveTime; t += GossipInterval) {
       for (const auto &peer : others)
         peer->sendGossip(ControlAddress, "");
       co_await sleepFor(GossipInterval);
@@ -453,9 +456,8 @@
   });
 }
 
-/// Guards against a gateway that asks the same gateway for a config again and
-/// again though it does not answer and others would, and does nothing else
-/// meanwhile.
+/// Guards against a gateway that fetches a config repeatedly from one silent
+/// peer, although other peers would answer, and is blocked meanwhile.
 TEST_F(StoreSessionTest, AConfigIsTakenFromAnotherGatewayThoughOneIsSilent) {
   FakePeer one(Io, {&FirstServer, &SecondServer});
   FakePeer two(Io, {&FirstServer, &SecondServer});
@@ -485,8 +487,8 @@
   });
 }
 
-/// Guards against a gateway whose config goes back (mutants.sh,
-/// older-config-taken).
+/// Guards against a gateway that replaces its config with an older version
+/// (mutants.sh, older-config-taken).
 TEST_F(StoreSessionTest, AnOlderConfigIsNeverTaken) {
   startGateway();
   runTest([&]() -> asio::awaitable<void> {
@@ -501,7 +503,7 @@
   });
 }
 
-/// Guards against a sidecar's notice that is lost in the gateway (mutants.sh,
+/// Guards against a gateway that ignores a sidecar's notice (mutants.sh,
 /// sidecar-notice-lost).
 TEST_F(StoreSessionTest, AServerWhoseSidecarSaysThatItLeavesGetsNothing) {
   FakePeer sidecar(Io, {});
