--- a/src/gateway/gateway-context.h
+++ b/src/gateway/gateway-context.h
@@ -56,9 +56,9 @@
   static constexpr base::milliseconds ExitMargin{250};
 
   GatewayContext(asio::io_context &io, const base::Clock &clock,
-                 GatewaySettings settings, Dialect dialect, Source source)
+                 GatewaySettings settings, Dialect codec, Source store)
       : Io(io), Clock(clock), Settings(std::move(settings)),
-        Codec(std::move(dialect)), Store(std::move(source)), Log(Settings.Name),
+        Codec(std::move(codec)), Store(std::move(store)), Log(Settings.Name),
         Servers(Settings.RenewalInterval), Placer(Servers, Runs, Settings.Zone),
         Budget(Settings.Retries), Random(base::secureRandom64()),
         GatewayPeers(now(), {Settings.Name, Settings.ControlListen, Incarnation,
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -23,9 +23,8 @@
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source)
-    : Ctx(io, clock, std::move(settings), std::move(dialect),
-          std::move(source)),
+             GatewaySettings settings, Dialect codec, Source store)
+    : Ctx(io, clock, std::move(settings), std::move(codec), std::move(store)),
       Migrations(Ctx), RequestForwarder(Ctx, Migrations) {
   Ctx.Servers.OnLeaving = [this](const Server &server) {
     Migrations.migrateAllFrom(server);
@@ -46,11 +45,12 @@
   };
 }
 
-base::Result<std::unique_ptr<Shell>>
-Shell::start(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, Dialect dialect, Source source) {
-  std::unique_ptr<Shell> shell(new Shell(
-      io, clock, std::move(settings), std::move(dialect), std::move(source)));
+base::Result<std::unique_ptr<Shell>> Shell::start(asio::io_context &io,
+                                                  const base::Clock &clock,
+                                                  GatewaySettings settings,
+                                                  Dialect codec, Source store) {
+  std::unique_ptr<Shell> shell(new Shell(io, clock, std::move(settings),
+                                         std::move(codec), std::move(store)));
   if (auto r = shell->listen(); !ok(r))
     return error(r);
   asio::co_spawn(io, watchConfig(shell->Ctx), asio::detached);
--- a/src/gateway/shell.h
+++ b/src/gateway/shell.h
@@ -12,7 +12,7 @@
 public:
   static base::Result<std::unique_ptr<Shell>>
   start(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, Dialect dialect, Source source);
+        GatewaySettings settings, Dialect codec, Source store);
 
   /// Applies the settings that can change while the process runs: limits and
   /// times. New addresses need a restart.
@@ -28,7 +28,7 @@
 
 private:
   Shell(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, Dialect dialect, Source source);
+        GatewaySettings settings, Dialect codec, Source store);
   base::Result<base::Done> listen();
   base::Result<base::Done> listenForMetrics();
   asio::awaitable<void> serveReadiness(http::Request request,
