--- a/test/forwarding-test.cc
+++ b/test/forwarding-test.cc
@@ -408,7 +408,8 @@
 TEST_F(ForwardingTest, ConfigIsRereadWithDelayAfterHistoryCompaction) {
   int reads = 0;
   WatchConfig = [](std::uint64_t, milliseconds) -> Source::Answer<ConfigText> {
-    co_return base::Error{base::ErrorCode::NotFound, "test", "history compacted"};
+    co_return base::Error{base::ErrorCode::NotFound, "test",
+                          "history compacted"};
   };
   OnReadConfig = [&] { ++reads; };
   startGateway();
