--- a/src/gateway/forwarded-request.cc
+++ b/src/gateway/forwarded-request.cc
@@ -12,30 +12,34 @@
 using base::Reason;
 using base::Verdict;
 
-/// A server that answers at its own time limit may still be heard.
+/// Added to the deadline so that the response of a server that answers at its
+/// own time limit still arrives.
 constexpr milliseconds DeadlineSlack{100};
-/// Connections come about in a few ms; a lost first packet is sent again only
-/// after a second, when another server is the better choice.
+/// Connecting takes a few ms. A lost SYN is sent again only after 1 s; trying
+/// another server is faster.
 constexpr milliseconds ConnectTimeout{400};
-/// Late answers to earlier requests that are read past.
+/// Maximum number of late responses to earlier requests that are skipped.
 constexpr int MaxForeignResponses = 3;
-/// With less time left no further attempt is worth its load.
+/// With less time remaining, another attempt is unlikely to succeed and only
+/// adds load.
 constexpr milliseconds MinAttemptTime{20};
-/// When to come back if no server could be found.
+/// Retry-After for all other reasons, such as no available server.
 constexpr milliseconds DefaultRetryAfter{250};
-/// A gateway without a config needs a call to the store, or a peer.
+/// Retry-After while the gateway has no config: it first has to read one from
+/// the store or from a peer.
 constexpr milliseconds NotReadyRetryAfter{1'000};
-/// Another gateway can take the request at once.
+/// Retry-After when this gateway is stopping: another gateway can serve the
+/// request immediately.
 constexpr milliseconds LeavingRetryAfter{20};
 
-milliseconds retryAfter(Reason why) {
-  if (why == Reason::NotReady)
+milliseconds retryAfter(Reason reason) {
+  if (reason == Reason::NotReady)
     return NotReadyRetryAfter;
-  return why == Reason::Leaving ? LeavingRetryAfter : DefaultRetryAfter;
+  return reason == Reason::Leaving ? LeavingRetryAfter : DefaultRetryAfter;
 }
 constexpr int HighestPriority = 0;
 constexpr int LowestPriority = 9;
-/// Routes' priorities within one priority of organisations.
+/// Number of route priorities within each organisation priority.
 constexpr int RoutePriorityLevels = 3;
 
 } // namespace
@@ -127,7 +131,7 @@
     return AttemptOutcome::WrongServer;
   if (answer.HasNotRun)
     return AttemptOutcome::NotRun;
-  // Without its stamp it is not the server's answer.
+  // A response without the server's stamp was not made by the server.
   if (!answer.IsStamped)
     return AttemptOutcome::Incomplete;
   return answer.Status >= FirstServerErrorStatus ? AttemptOutcome::Failed
@@ -157,23 +161,24 @@
 }
 
 http::Response makeRefusal(const ForwardedRequest &f, Verdict verdict,
-                           Reason why) {
+                           Reason reason) {
   constexpr int NotRunStatus = 503;
   constexpr int ExpiredStatus = 504;
   constexpr int MayHaveRunStatus = 502;
   http::Response response;
   response.Status = MayHaveRunStatus;
-  if (why == Reason::Expired)
+  if (reason == Reason::Expired)
     response.Status = ExpiredStatus;
   if (verdict == Verdict::NotRun)
     response.Status = NotRunStatus;
   response.ContentType = "text/plain";
-  response.Body = std::string(base::describe(why)) + "\n";
+  response.Body = std::string(base::describe(reason)) + "\n";
   if (verdict == Verdict::NotRun)
     response.Headers.push_back(
         {"Retry-After",
-         fmt::format("{:.2f}",
-                     std::chrono::duration<double>(retryAfter(why)).count())});
+         fmt::format(
+             "{:.2f}",
+             std::chrono::duration<double>(retryAfter(reason)).count())});
   response.Headers.push_back(
       {"Drumlanding-Verdict", std::string(toString(verdict))});
   f.Ctx.Codec.AddAttemptId(f.Request, response);
--- a/src/gateway/forwarder.cc
+++ b/src/gateway/forwarder.cc
@@ -13,11 +13,11 @@
   return {status, "text/plain", std::move(text), {}};
 }
 
-/// Time that an engine takes for a token, from its data sheet: 7 ms a step and
-/// 0.12 ms for each of some ten running generations.
+/// Time an engine takes per token, from its data sheet: 7 ms per step plus 0.12
+/// ms for each of about ten running generations.
 constexpr double MsPerToken = 8.5;
 
-/// Returns how long a stream is expected to go on; nothing for plain calls.
+/// Returns the expected duration of a stream; 0 for plain calls.
 base::Duration expectedStreamDuration(const ForwardedRequest &f) {
   if (f.MatchedRoute->Kind != RequestKind::Stream)
     return base::Duration(0);
@@ -34,10 +34,10 @@
   f->ReceivedAt = Ctx.now();
   if (Ctx.IsLeaving)
     x.closeAfterResponse();
-  if (auto answer = admit(*f)) {
-    Ctx.Codec.AddAttemptId(f->Request, *answer);
-    logRequestEnd(*f, answer->Status, "not admitted");
-    co_await x.send(std::move(*answer));
+  if (auto response = admit(*f)) {
+    Ctx.Codec.AddAttemptId(f->Request, *response);
+    logRequestEnd(*f, response->Status, "not admitted");
+    co_await x.send(std::move(*response));
     co_return;
   }
   ++Ctx.OpenRequests;
@@ -81,7 +81,8 @@
       std::min(f.Request.Timeout.value_or(f.MatchedRoute->Timeout),
                f.MatchedRoute->Timeout);
   f.Deadline = f.ReceivedAt + timeout;
-  // The stop would cut it: another gateway can carry it to its end.
+  // The stream would be interrupted when this gateway exits; another gateway
+  // can complete it.
   if (Ctx.IsLeaving &&
       f.ReceivedAt + expectedStreamDuration(f) > Ctx.stopDeadline())
     return makeRefusal(f, Verdict::NotRun, Reason::Leaving);
@@ -169,13 +170,13 @@
 }
 
 void Forwarder::logRequestEnd(const ForwardedRequest &f, int status,
-                              std::string_view why) {
+                              std::string_view cause) {
   Ctx.Log.write(
       "request-ended",
       {{"request", f.Request.AttemptId},
        {"route", f.MatchedRoute ? std::string_view(f.MatchedRoute->Name) : ""},
        {"status", status},
-       {"why", why},
+       {"why", cause},
        {"sends", f.Sends},
        {"ms", base::toMs(Ctx.now() - f.ReceivedAt)}});
   countCall(Ctx.Metrics,
--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -18,18 +18,18 @@
 using boost::system::error_code;
 using daemon::sleepFor;
 
-/// How often each gateway tells what it knows when nothing happens.
+/// Interval between messages with the full state.
 constexpr milliseconds FullStateInterval{500};
-/// News go out together after this short time.
+/// Changes within this time are sent in one message.
 constexpr milliseconds DeltaBatchDelay{4};
-/// How often it is checked whether another gateway knows more, and whether
-/// something has become old.
+/// Interval of the checks for peers with a newer config or list and for expired
+/// state.
 constexpr milliseconds CheckInterval{200};
 constexpr milliseconds FetchTimeout{1'000};
-/// One message in so many carries the addresses of the live gateways.
+/// One in this many full states carries the addresses of the live gateways.
 constexpr std::uint64_t FullStatesPerPeerList = 4;
-/// Changes of the list that fit into a datagram beside all else; after more,
-/// the others fetch the whole.
+/// Maximum number of list changes that fit into a datagram with the rest of the
+/// message. When there are more, none is sent and the peers fetch the list.
 constexpr std::size_t MaxListChanges = 200;
 constexpr std::string_view ConfigPath = "/config";
 constexpr std::string_view ServersPath = "/servers";
@@ -83,14 +83,14 @@
     co_await SendTimer.async_wait(
         asio::redirect_error(asio::use_awaitable, ec));
     if (ec)
-      continue; // delta came: the timer was set anew
+      continue; // the timer was reset because an update is due
     IsSendDue = false;
     sendUpdate();
   }
 }
 
-/// Tells all that this gateway does every half second, and between only what
-/// is new: the links of small VMs are slow.
+/// Sends the full state every FullStateInterval and only the delta in between,
+/// since the links of small VMs are slow.
 void Gossip::sendUpdate() {
   const base::Instant now = Ctx.now();
   wire::Gossip message = makeStatusMessage();
@@ -110,7 +110,8 @@
   broadcast(message);
 }
 
-/// Who this gateway is, and which config, list and leaving servers it knows.
+/// Returns a message with this gateway's identity, its config and list
+/// versions, and the leaving and ejected servers.
 wire::Gossip Gossip::makeStatusMessage() {
   const base::Instant now = Ctx.now();
   wire::Gossip message;
@@ -125,23 +126,24 @@
       base::toMs(now - Ctx.Servers.storeStableSince())));
   message.set_list_digest(Ctx.Servers.digest());
   message.set_watches_list(Ctx.hasStoreContact());
-  for (const ServerInstance &life : Ctx.Servers.leaving(now)) {
+  for (const ServerInstance &instance : Ctx.Servers.leaving(now)) {
     wire::ServerLife &out = *message.add_leaving_servers();
-    out.set_id(life.Id);
-    out.set_born_ms(static_cast<std::uint64_t>(life.StartedAt.count()));
+    out.set_id(instance.Id);
+    out.set_born_ms(static_cast<std::uint64_t>(instance.StartedAt.count()));
   }
-  for (const EjectedServer &avoided : Ctx.Servers.ejected(now)) {
+  for (const EjectedServer &ejected : Ctx.Servers.ejected(now)) {
     wire::Avoided &out = *message.add_avoided();
-    out.set_server(avoided.Id);
+    out.set_server(ejected.Id);
     out.set_broken_answers(
-        static_cast<std::uint32_t>(avoided.IncompleteResponses));
-    out.set_left_ms(static_cast<std::uint64_t>(avoided.Remaining.count()));
-    out.set_born_ms(static_cast<std::uint64_t>(avoided.StartedAt.count()));
+        static_cast<std::uint32_t>(ejected.IncompleteResponses));
+    out.set_left_ms(static_cast<std::uint64_t>(ejected.Remaining.count()));
+    out.set_born_ms(static_cast<std::uint64_t>(ejected.StartedAt.count()));
   }
   return message;
 }
 
-/// So that the others need not fetch the whole list for each change of it.
+/// Adds pending list changes, so that the peers need not fetch the complete
+/// list after each change.
 void Gossip::addListDelta(wire::Gossip &message) {
   const std::vector<ServerChange> delta = std::move(Ctx.PendingListChanges);
   Ctx.PendingListChanges.clear();
@@ -160,7 +162,7 @@
                           std::span<const TrackedRun> runs) {
   for (const TrackedRun &run : runs)
     *message.add_runs() = toWire(run);
-  // Bytes between zones are paid for: addresses go with a part of the messages.
+  // Traffic between zones is billed, so only some messages carry addresses.
   if (FullStateCount++ % FullStatesPerPeerList != 0)
     return;
   for (const Peer &peer : Ctx.GatewayPeers.live(Ctx.now()))
@@ -179,8 +181,9 @@
   broadcast(message);
 }
 
-/// Asks the process beside an engine who is there: after a restart of all, the
-/// store lists the engines of before for seconds.
+/// Requests a notice from an engine's sidecar to verify which server runs
+/// there. After a restart of all servers, the store lists the previous ones for
+/// several seconds.
 void Gossip::requestSidecarNotice(const Server &server) {
   if (Ctx.Settings.SidecarPort == 0)
     return;
@@ -198,18 +201,18 @@
                message.SerializeAsString());
 }
 
-/// Takes a sidecar's notice and answers with the gateways' addresses.
+/// Applies a sidecar's notice and replies with the addresses of the gateways.
 void Gossip::handleSidecarNotice(const wire::Gossip &message,
                                  const DatagramSocket::Sender &from) {
   const base::Instant now = Ctx.now();
   Ctx.Servers.applyNotice(now, fromWire(message.notice()));
-  wire::Gossip answer;
-  answer.set_name(Ctx.Settings.Name);
-  answer.set_address(base::toString(Ctx.Settings.ControlListen));
-  answer.set_incarnation(Ctx.Incarnation);
+  wire::Gossip reply;
+  reply.set_name(Ctx.Settings.Name);
+  reply.set_address(base::toString(Ctx.Settings.ControlListen));
+  reply.set_incarnation(Ctx.Incarnation);
   for (const Peer &peer : Ctx.GatewayPeers.live(now))
-    answer.add_peers(base::toString(peer.Address));
-  Socket->reply(from, answer.SerializeAsString());
+    reply.add_peers(base::toString(peer.Address));
+  Socket->reply(from, reply.SerializeAsString());
 }
 
 void Gossip::handleDatagram(std::string_view datagram,
@@ -227,11 +230,11 @@
       Ctx.GatewayPeers.recordMessage(now, message);
   if (senderState == Peers::ReceiveResult::Ignored)
     return;
-  // Who has just started knows nothing yet.
+  // A gateway that has just started has no state yet.
   if (senderState == Peers::ReceiveResult::NewInstance && !message.is_last()) {
-    wire::Gossip all = makeStatusMessage();
-    addFullState(all, Ctx.Runs.ownRuns());
-    Socket->reply(from, all.SerializeAsString());
+    wire::Gossip fullState = makeStatusMessage();
+    addFullState(fullState, Ctx.Runs.ownRuns());
+    Socket->reply(from, fullState.SerializeAsString());
   }
   applyRuns(now, message);
   applyServers(now, message);
@@ -251,15 +254,16 @@
 }
 
 void Gossip::applyServers(base::Instant now, const wire::Gossip &message) {
-  for (const wire::ServerLife &life : message.leaving_servers())
-    Ctx.Servers.markLeaving(now, {life.id(), milliseconds(life.born_ms())});
-  for (const wire::Avoided &avoided : message.avoided())
-    Ctx.Servers.applyEjection(now, {avoided.server(),
-                                    static_cast<int>(avoided.broken_answers()),
-                                    milliseconds(avoided.left_ms()),
-                                    milliseconds(avoided.born_ms())});
-  // An outage of the store is one that affects every gateway, not a loss of
-  // this gateway's own path to it.
+  for (const wire::ServerLife &instance : message.leaving_servers())
+    Ctx.Servers.markLeaving(now,
+                            {instance.id(), milliseconds(instance.born_ms())});
+  for (const wire::Avoided &ejected : message.avoided())
+    Ctx.Servers.applyEjection(now, {ejected.server(),
+                                    static_cast<int>(ejected.broken_answers()),
+                                    milliseconds(ejected.left_ms()),
+                                    milliseconds(ejected.born_ms())});
+  // A peer's contact with the store counts as well: only a store that no
+  // gateway reaches has an outage, not one that only this gateway cannot reach.
   if (message.watches_list())
     Ctx.Servers.recordStoreContact(now - milliseconds(message.list_age_ms()),
                                    now - milliseconds(message.steady_ms()));
@@ -269,8 +273,8 @@
     Ctx.Servers.remove(now, fromWire(gone), Evidence::Gateway);
 }
 
-/// A gateway that follows the store's list has the same one: it is as fresh
-/// as theirs.
+/// If a peer that watches the store has the same list, this gateway's list is
+/// as recent as the peer's.
 void Gossip::adoptListAge(base::Instant now, const wire::Gossip &message) {
   if (!message.watches_list() || Ctx.hasStoreContact() ||
       message.list_digest() != Ctx.Servers.digest())
@@ -302,9 +306,9 @@
   }
 }
 
-void Gossip::recordFetchFailure(const Peer &from, std::string_view what) {
+void Gossip::recordFetchFailure(const Peer &from, std::string_view resource) {
   Ctx.GatewayPeers.recordFetchFailure(Ctx.now(), from);
-  Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", what}});
+  Ctx.Log.write("peer-fetch-failed", {{"peer", from.Name}, {"what", resource}});
 }
 
 asio::awaitable<void> Gossip::fetchConfig(Peer from) {
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -1,5 +1,5 @@
-// drumlanding-gateway: takes callers' HTTP requests and brings them straight to
-// backend servers, by the operators' routes.
+// drumlanding-gateway: forwards callers' HTTP requests directly to backend
+// servers according to the operators' routes.
 #include "platform/protocol-codec.h"
 #include "platform/store-reader.h"
 #include "shell.h"
@@ -13,39 +13,40 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(node_file, "",
-              "[process] file of settings, one --flag=value a line");
+              "[process] settings file with one --flag=value per line");
 DEFINE_string(listen, "", "[network] IP:port for callers (HTTP)");
 DEFINE_string(ready_listen, "",
-              "[network] IP:port at which the balancer asks for readiness");
+              "[network] IP:port of the readiness check for the load balancer");
 DEFINE_string(gateway_listen, "",
               "[network] IP:port for the other gateways (UDP and HTTP)");
 DEFINE_string(metrics_listen, "",
-              "[network] IP:port that tells the metrics, beside the control "
-              "address; empty for none");
+              "[network] additional IP:port that serves the metrics, which "
+              "--gateway_listen always serves; empty for none");
 DEFINE_string(platform, "", "[network] IP:port of the platform's store");
-DEFINE_string(seeds, "",
-              "[network] addresses of some gateways, separated by commas");
+DEFINE_string(
+    seeds, "",
+    "[network] addresses of some gateways (IP:port), separated by commas");
 DEFINE_int32(sidecar_port, 0,
-             "[network] UDP port of the processes beside engines, 1 to 65535; "
-             "0 when there are none");
+             "[network] UDP port of the engines' sidecars, 1 to 65535; 0 when "
+             "there are no sidecars");
 DEFINE_double(retry_part, 0.2,
-              "[decisions] second sends for each request, 0 to 1");
+              "[decisions] allowed retries per request, 0 to 1");
 DEFINE_double(retry_extra, 0,
-              "[decisions] second sends that all gateways together may add in "
-              "a window, 0 or more");
+              "[decisions] additional retries per window for all gateways "
+              "together, 0 or more");
 DEFINE_double(retry_window_s, 10,
-              "[decisions] that window in seconds, 1 to 60");
+              "[decisions] window of the retry budget in seconds, 1 to 60");
 DEFINE_int32(drain_ms, 2000,
-             "[decisions] time that a server serves after it said that it "
-             "leaves, in ms, 100 to 600000");
+             "[decisions] time that a server keeps serving after it has "
+             "announced that it leaves, in ms, 100 to 600000");
 DEFINE_int32(config_apply_ms, 2000,
-             "[decisions] time in which a config that the store has taken is "
-             "to be in force, in ms, 100 to 600000");
+             "[decisions] time limit for applying a config after the store has "
+             "accepted it, in ms, 100 to 600000");
 DEFINE_int32(renewal_ms, 1200,
-             "[decisions] how often servers renew their entries in the store, "
-             "in ms, 10 to 600000");
+             "[decisions] interval at which servers renew their entries in the "
+             "store, in ms, 10 to 600000");
 DEFINE_double(grace_s, 8,
-              "[process] seconds from the order to stop to the kill, 1 to 600");
+              "[process] seconds from the stop signal to the kill, 1 to 600");
 
 namespace {
 
@@ -129,7 +130,7 @@
   return settings;
 }
 
-/// Calls back on SIGHUP, and when the settings file has changed by itself.
+/// Invokes a callback on SIGHUP and when the settings file has been modified.
 class SettingsFileWatcher {
 public:
   SettingsFileWatcher(boost::asio::io_context &io,
@@ -163,8 +164,8 @@
     Timer.async_wait([this](boost::system::error_code ec) {
       if (ec)
         return;
-      if (const auto at = lastWriteTime(); at != LastWriteTime) {
-        LastWriteTime = at;
+      if (const auto writeTime = lastWriteTime(); writeTime != LastWriteTime) {
+        LastWriteTime = writeTime;
         OnChange();
       }
       waitForChange();
@@ -184,7 +185,7 @@
   if (!ok(settings))
     base::exitOnBadSettings(error(settings));
   boost::asio::io_context io(1);
-  // Whoever reads the log may go away.
+  // The reader of the log may close its end of the pipe.
   std::signal(SIGPIPE, SIG_IGN);
   const platform::Store store(value(settings).StoreAddress);
   const base::SystemClock clock;
@@ -201,6 +202,7 @@
   SettingsFileWatcher watch(
       io, [&] { value(shell)->reload(readGatewaySettings(argc, argv)); });
   io.run();
-  // Connections that are still open hold references into the shell.
+  // Skips destructors: connections that are still open hold references into the
+  // shell.
   std::_Exit(0);
 }
--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -14,18 +14,18 @@
 using base::milliseconds;
 using daemon::sleepFor;
 
-/// The balancer asks every second and needs two answers to take a gateway out;
-/// until then it may hand over new connections.
+/// Time until the load balancer has removed this gateway: it checks readiness
+/// every second and needs two failed checks. Until then it may open new
+/// connections.
 constexpr milliseconds BalancerRemovalTime{3'000};
 constexpr milliseconds DrainCheckInterval{50};
 
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, ProtocolCodec dialect,
-             StoreReader source)
-    : Ctx(io, clock, std::move(settings), std::move(dialect),
-          std::move(source)),
+             GatewaySettings settings, ProtocolCodec codec,
+             StoreReader store)
+    : Ctx(io, clock, std::move(settings), std::move(codec), std::move(store)),
       Migrations(Ctx), RequestForwarder(Ctx, Migrations) {
   Ctx.Servers.OnLeaving = [this](const Server &server) {
     Migrations.migrateAllFrom(server);
@@ -49,10 +49,10 @@
 base::Result<std::unique_ptr<Shell>> Shell::start(asio::io_context &io,
                                                   const base::Clock &clock,
                                                   GatewaySettings settings,
-                                                  ProtocolCodec dialect,
-                                                  StoreReader source) {
-  std::unique_ptr<Shell> shell(new Shell(
-      io, clock, std::move(settings), std::move(dialect), std::move(source)));
+                                                  ProtocolCodec codec,
+                                                  StoreReader store) {
+  std::unique_ptr<Shell> shell(new Shell(io, clock, std::move(settings),
+                                         std::move(codec), std::move(store)));
   if (auto r = shell->listen(); !ok(r))
     return error(r);
   asio::co_spawn(io, watchConfig(shell->Ctx), asio::detached);
@@ -63,10 +63,10 @@
 }
 
 base::Result<base::Done> Shell::listen() {
-  auto talk = Gossip::start(Ctx);
-  if (!ok(talk))
-    return error(talk);
-  PeerGossip = std::move(value(talk));
+  auto gossip = Gossip::start(Ctx);
+  if (!ok(gossip))
+    return error(gossip);
+  PeerGossip = std::move(value(gossip));
   http::ServerOptions options;
   options.CurrentLimits = [this] {
     return Ctx.Routes ? Ctx.Routes->config().Limits : http::CallerLimits();
@@ -92,14 +92,14 @@
 base::Result<base::Done> Shell::listenForMetrics() {
   if (!Ctx.Settings.MetricsListen)
     return base::Done{};
-  const auto answer = [this](http::Request r,
-                             http::Exchange &x) -> asio::awaitable<void> {
+  const auto servePage = [this](http::Request r,
+                                http::Exchange &x) -> asio::awaitable<void> {
     auto page = metricsPage(Ctx, r);
-    http::Response none{404, "text/plain", "no such page\n", {}};
-    co_await x.send(std::move(page ? *page : none));
+    http::Response notFound{404, "text/plain", "no such page\n", {}};
+    co_await x.send(std::move(page ? *page : notFound));
   };
   auto pages =
-      http::Server::listen(Ctx.Io, *Ctx.Settings.MetricsListen, {}, answer);
+      http::Server::listen(Ctx.Io, *Ctx.Settings.MetricsListen, {}, servePage);
   if (!ok(pages))
     return error(pages);
   MetricsServer = std::move(value(pages));
@@ -116,21 +116,22 @@
   co_await x.send(std::move(response));
 }
 
-void Shell::reload(const base::Result<GatewaySettings> &read) {
-  if (!ok(read)) {
-    Ctx.Log.write("settings-rejected", {{"why", describe(error(read))}});
+void Shell::reload(const base::Result<GatewaySettings> &settings) {
+  if (!ok(settings)) {
+    Ctx.Log.write("settings-rejected", {{"why", describe(error(settings))}});
     return;
   }
-  const GatewaySettings &fresh = value(read);
-  const bool needsRestart = fresh.Listen != Ctx.Settings.Listen ||
-                            fresh.ReadyListen != Ctx.Settings.ReadyListen ||
-                            fresh.ControlListen != Ctx.Settings.ControlListen ||
-                            fresh.StoreAddress != Ctx.Settings.StoreAddress;
-  Ctx.Settings.Retries = fresh.Retries;
-  Ctx.Settings.DrainTime = fresh.DrainTime;
-  Ctx.Settings.MaxConfigApplyTime = fresh.MaxConfigApplyTime;
-  Ctx.Settings.TerminationGracePeriod = fresh.TerminationGracePeriod;
-  Ctx.Budget.setOptions(fresh.Retries);
+  const GatewaySettings &updated = value(settings);
+  const bool needsRestart =
+      updated.Listen != Ctx.Settings.Listen ||
+      updated.ReadyListen != Ctx.Settings.ReadyListen ||
+      updated.ControlListen != Ctx.Settings.ControlListen ||
+      updated.StoreAddress != Ctx.Settings.StoreAddress;
+  Ctx.Settings.Retries = updated.Retries;
+  Ctx.Settings.DrainTime = updated.DrainTime;
+  Ctx.Settings.MaxConfigApplyTime = updated.MaxConfigApplyTime;
+  Ctx.Settings.TerminationGracePeriod = updated.TerminationGracePeriod;
+  Ctx.Budget.setOptions(updated.Retries);
   Ctx.Log.write("settings-taken", {{"needs_restart", needsRestart}});
 }
 
--- a/src/gateway/shell.h
+++ b/src/gateway/shell.h
@@ -1,4 +1,4 @@
-/// Shell: the sockets, timers and life of one gateway.
+/// Shell: the I/O layer of one gateway: its sockets, timers and shutdown.
 #pragma once
 
 #include "forwarder.h"
@@ -12,21 +12,23 @@
 public:
   static base::Result<std::unique_ptr<Shell>>
   start(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, ProtocolCodec dialect, StoreReader source);
+        GatewaySettings settings, ProtocolCodec codec, StoreReader store);
 
-  /// Takes the settings that can change while the process runs: limits and
+  /// Applies the settings that can change while the process runs: limits and
   /// times. New addresses need a restart.
   void reload(const base::Result<GatewaySettings> &settings);
 
-  /// Takes no new callers, lets requests end, and stops the context.
+  /// Closes callers' connections after their responses, stops accepting new
+  /// ones once the load balancer has removed this gateway, and stops the
+  /// io_context when no request is open or the stop deadline has passed.
   void shutDown();
 
-  /// What this gateway knows and does, for tests.
+  /// Returns the gateway's state, for tests.
   const GatewayContext &context() const { return Ctx; }
 
 private:
   Shell(asio::io_context &io, const base::Clock &clock,
-        GatewaySettings settings, ProtocolCodec dialect, StoreReader source);
+        GatewaySettings settings, ProtocolCodec codec, StoreReader store);
   base::Result<base::Done> listen();
   base::Result<base::Done> listenForMetrics();
   asio::awaitable<void> serveReadiness(http::Request request,
