--- a/include/drumlanding/gateway/attempt-policy.h
+++ b/include/drumlanding/gateway/attempt-policy.h
@@ -1,28 +1,33 @@
-/// Attempt policy: what follows when an attempt at a backend server has ended.
+/// Attempt policy: decides what to do after an attempt at a backend server has
+/// ended.
 ///
-///   Step s = nextStep({AttemptEnd::Broken, RequestKind::Idempotent, ...});
+///   Step s = nextStep({AttemptOutcome::Incomplete, RequestKind::Idempotent,
+///   ...},
+///                     takeRetry);
 ///
-/// Another server is tried only after proof that nothing ran, or when the
-/// request may run more than once.
+/// A request is sent to another server only if it provably did not run or is
+/// idempotent.
 #pragma once
 
 #include "drumlanding/gateway/config.h"
 
 namespace drumlanding::gateway {
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 enum class AttemptOutcome {
-  Served,      ///< A whole answer that is no failure.
-  Failed,      ///< A whole answer that is the server's own failure: it ran.
-  NotRun,      ///< The server says that it did not run the request.
-  WrongServer, ///< Another server answers there: the one meant has ended.
-  Incomplete,  ///< It was sent, and no whole answer came.
+  Served, ///< A complete response that is no server failure.
+  Failed, ///< A complete response that reports a server failure; the request
+          ///< ran.
+  NotRun, ///< The server states that it did not run the request.
+  WrongServer, ///< Another server answered at the address; the intended one has
+               ///< ended.
+  Incomplete,  ///< The request was sent, but no complete response came.
   Unreachable, ///< Nothing was sent.
 };
 
 enum class Step {
-  Deliver,    ///< Pass the answer on.
-  TryAnother, ///< Send it to another server.
+  Deliver,    ///< Forward the response to the client.
+  TryAnother, ///< Send the request to another server.
   RefuseNotRun,
   GiveUpMayHaveRun,
 };
@@ -30,27 +35,27 @@
 struct AttemptState {
   AttemptOutcome Outcome = AttemptOutcome::Incomplete;
   RequestKind Kind = RequestKind::NonIdempotent;
-  /// Servers that the request was sent to, and the most that it may be. One
-  /// that had ended already does not count.
+  /// Number of servers that received the request, and its limit. Servers that
+  /// had already ended do not count.
   int Sends = 0;
   int MaxSends = 1;
-  /// How often it has arrived at a server, ended ones too: each further time is
-  /// a retry.
+  /// Number of times the request reached any server, including ones that had
+  /// ended. Every arrival after the first is a retry.
   int Arrivals = 0;
-  /// An earlier attempt may have run.
+  /// True when an earlier attempt may have run the request.
   bool MayHaveRun = false;
-  /// Enough time is left for another attempt.
+  /// True when enough time remains for another attempt.
   bool HasTime = true;
-  /// Another server is there to try.
+  /// True when another server is available.
   bool HasServer = true;
 };
 
-/// A request that has met so many servers, most of them ended, is refused: its
-/// caller can come back when the list is right again.
+/// A request that reached this many servers, most of which had ended, is
+/// refused. The client can retry once the server list is up to date again.
 inline constexpr int MaxArrivals = 4;
 
-/// Returns what to do; `takeRetry` is asked only when a second send would
-/// follow, and takes it from the budget.
+/// Returns the next step. Calls `takeRetry`, which takes one retry from the
+/// budget, only if the request would be sent to a further server.
 template <typename TakeRetry>
 Step nextStep(const AttemptState &s, TakeRetry takeRetry) {
   if (s.Outcome == AttemptOutcome::Served)
--- a/include/drumlanding/gateway/config.h
+++ b/include/drumlanding/gateway/config.h
@@ -1,7 +1,7 @@
-/// Config: what the operators have put in force for the gateways: routes,
-/// services, organisations and limits.
+/// Config: the operators' configuration of the gateways: routes, services,
+/// organisations and limits.
 ///
-///   Result<Config> c = decoder(text);
+///   Result<Config> c = reader.DecodeConfig(text);
 ///   RouteTable routes(value(c));
 #pragma once
 
@@ -16,68 +16,68 @@
 
 namespace drumlanding::gateway {
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 enum class RequestKind {
   Idempotent,    ///< May run more than once.
   NonIdempotent, ///< Runs at most once.
-  Stream,        ///< A stream of events; runs at most once.
+  Stream,        ///< An event stream; runs at most once.
 };
 
-/// One of the services that a route's requests are divided over.
+/// A service that receives a weighted share of a route's requests.
 struct WeightedService {
   std::string Service;
   double Weight = 1;
 };
 
-/// Requests of one host whose path begins with `PathPrefix`.
+/// Rule for the requests to one host whose path starts with `PathPrefix`.
 struct Route {
   std::string Name;
   std::string Host;
   std::string PathPrefix;
   RequestKind Kind = RequestKind::NonIdempotent;
-  /// The longest that a request may be held.
+  /// Maximum time a request may stay open.
   base::milliseconds Timeout{30'000};
-  /// Within this time an answer is worth most.
+  /// Response time objective; a response within it is worth most.
   base::milliseconds LatencyTarget{1'000};
-  /// Streams: the longest pause between events that is still in time.
+  /// Streams: maximum gap between events that still meets the route's target.
   base::milliseconds MaxEventGap{0};
   /// 0 is the most urgent.
   int Priority = 0;
-  /// Most backend servers that one request may be sent to.
+  /// Maximum number of backend servers that one request may be sent to.
   int MaxAttempts = 1;
-  /// True when no key is needed.
+  /// True when requests need no API key.
   bool IsPublic = false;
   std::vector<WeightedService> Services;
 };
 
-/// What the engines of a service can do.
+/// Capabilities of a service's engines.
 struct EngineTraits {
-  /// Tokens that fit into its memory.
+  /// Capacity of the KV cache.
   std::uint64_t KvCacheTokens = 0;
   std::uint64_t BytesPerToken = 0;
-  /// Rate at which memory is copied to another engine.
+  /// Rate at which KV cache is copied to another engine.
   double LinkMbps = 0;
-  /// Whether a running generation's memory can be moved.
+  /// Whether a running generation can be migrated to another engine.
   bool CanMigrate = false;
-  /// Tokens that one event of a stream carries.
+  /// Number of tokens in one stream event.
   int TokensPerEvent = 1;
 };
 
 struct Service {
   std::string Name;
-  /// Empty for plain services.
+  /// Unset for services without engines.
   std::optional<EngineTraits> Engine;
 };
 
 struct Organisation {
   std::string Name;
   std::vector<std::string> Keys;
-  /// Goes before the route's priority; 0 is the most urgent.
+  /// Takes precedence over the route's priority; 0 is the most urgent.
   std::optional<int> Priority;
 };
 
 struct Config {
-  /// Rises with every change, by uneven steps.
+  /// Increases with every change, not always by one.
   std::uint64_t Version = 0;
   std::vector<Route> Routes;
   std::vector<Service> Services;
@@ -87,33 +87,33 @@
   const Service *service(std::string_view name) const;
 };
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 enum class ServerState { Ready, Leaving };
 
-/// A backend server as it lists itself.
+/// A backend server as described by its entry in the store.
 struct ListedServer {
   std::string Id;
-  /// When it started, as a Unix time; 0 when it does not say. A server that has
-  /// started again may have its old id.
+  /// Start time as Unix time; 0 when unknown. A restarted server may reuse its
+  /// id.
   base::milliseconds StartedAt{0};
   std::string Service;
   base::Endpoint Address;
   std::string Zone;
   int Slots = 1;
   ServerState State = ServerState::Ready;
-  /// How much longer it is slow after its start.
+  /// Remaining time for which the server responds slowly after its start.
   base::milliseconds ColdRemaining{0};
-  /// The store's revision of this entry; 0 when unknown.
+  /// Store revision of this entry; 0 when unknown.
   std::uint64_t Revision = 0;
 };
 
-/// An entry that the store no longer holds, as of a revision.
+/// An entry that was removed from the store, and the revision of the removal.
 struct RemovedServer {
   std::string Id;
   std::uint64_t Revision = 0;
 };
 
-/// The list of servers as of a revision.
+/// The server list at a store revision.
 struct ServerList {
   std::uint64_t Revision = 0;
   std::vector<ListedServer> Servers;
--- a/include/drumlanding/gateway/datagram-socket.h
+++ b/include/drumlanding/gateway/datagram-socket.h
@@ -1,10 +1,11 @@
-/// Datagrams: how gateways and sidecars send what they know. Lost ones do no
-/// harm: the next says the same.
+/// Datagram socket: UDP transport for the messages between gateways and
+/// sidecars. Lost datagrams are harmless,
+/// because the state is sent again regularly.
 ///
-///   auto socket = Datagrams::open(io, endpoint);
+///   auto socket = DatagramSocket::open(io, endpoint);
 ///   value(socket)->send(peer, bytes);
-///   co_await value(socket)->receive([](std::string_view bytes, Sender from)
-///   {});
+///   co_await value(socket)->receive(
+///       [](std::string_view bytes, DatagramSocket::Sender from) {});
 #pragma once
 
 #include "drumlanding/base/result.h"
--- a/include/drumlanding/gateway/directory.h
+++ b/include/drumlanding/gateway/directory.h
@@ -1,15 +1,16 @@
-/// Directory: the backend servers that the gateway knows: listed, leaving,
-/// gone, and avoided for failing.
+/// Directory: the backend servers known to the gateway, with their state:
+/// listed, leaving, removed or ejected.
 ///
 ///   Directory directory;
-///   directory.replaceAll(now, servers);            // the whole list was read
-///   directory.put(now, server); directory.remove(now, id);
+///   directory.applySnapshot(now, list);   // after reading the complete list
+///   directory.put(now, server);
+///   directory.remove(now, removed);
 ///   for (const Server *s : directory.usable(now, "tutor-llm")) ...
 ///
-/// Servers renew their entries in the store. After no gateway has heard from
-/// the store for longer than an entry may go without renewal, an absent entry
-/// may have lapsed with its server well: the server stays in use until
-/// GraceAfterReturn has passed without it.
+/// Servers renew their entries in the store. If no gateway had contact with the
+/// store for longer than an entry lives without renewal, entries of healthy
+/// servers may have expired. Servers without an entry then stay in use until
+/// OutageGrace has passed.
 #pragma once
 
 #include "drumlanding/gateway/config.h"
@@ -22,64 +23,68 @@
 
 namespace drumlanding::gateway {
 
-/// How a request to a backend server ended, for the server's health.
+/// Outcome of a request at a backend server, for tracking the server's health.
 enum class ServerOutcome {
-  Served,      ///< An answer of its own, whole.
-  Failed,      ///< A failure of its own, whole.
-  Incomplete,  ///< A broken answer, or none.
-  Refused,     ///< It said that it did not run the request.
-  Unreachable, ///< No connection came about.
+  Served,      ///< A complete response.
+  Failed,      ///< A complete response that reports a server failure.
+  Incomplete,  ///< A truncated response, or none.
+  Refused,     ///< The server stated that it did not run the request.
+  Unreachable, ///< No connection could be established.
 };
 
-/// A backend server and what is known of it.
+/// A backend server and its state as known to this gateway.
 struct Server {
   ListedServer Listed;
   bool IsLeaving = false;
-  /// When it was first known to leave.
+  /// When the server was first known to be leaving.
   base::Instant LeavingSince{};
-  /// It is slow until then.
+  /// The server responds slowly until this time.
   base::Instant ColdUntil{};
-  /// When it will be gone; unset when unknown.
+  /// When the server shuts down; unset when unknown.
   base::Instant ShutdownAt{};
-  /// It said that it leaves, and gave no time: it serves as long as planned.
+  /// The server announced that it leaves without giving a time, so it stays up
+  /// for the planned drain period.
   bool IsPlannedLeave = false;
-  /// Another server answers at its address.
+  /// Another server answered at this server's address.
   bool IsReplaced = false;
-  /// The store lists it; false for one that was only met.
+  /// False for a server known only from a notice and not yet from the list.
   bool IsListed = false;
-  /// The list lost it, perhaps only because the store was away.
+  /// The entry is no longer in the list, possibly only because the store was
+  /// unavailable.
   bool IsMissing = false;
-  /// The store's revision at which it was listed or went, as far as is known.
+  /// Latest known store revision at which the entry was written or removed.
   std::uint64_t Revision = 0;
-  /// It is taken to be leaving only because the list lost it: a new entry of
-  /// its own shows that it is not.
+  /// Assumed to be leaving only because its entry is missing. A new entry of
+  /// the same server clears this.
   bool IsPresumedLeaving = false;
-  /// Recent failures as a part of recent outcomes; old ones fade.
+  /// Moving average of the failure rate; recent outcomes weigh more.
   double FailureRate = 0;
-  /// Broken answers since the last whole one, here or at another gateway.
+  /// Incomplete responses since the last complete one, at this or another
+  /// gateway.
   int IncompleteResponses = 0;
-  /// Not chosen before this moment.
+  /// The server is not chosen before this time.
   base::Instant EjectedUntil{};
-  /// Requests of this gateway in progress there.
+  /// Number of this gateway's requests in progress at the server.
   int OpenRequests = 0;
 };
 
-/// Returns the broken answers that still count: they expire some time after the
-/// server was last avoided, or it would never be tried again.
+/// Returns the number of incomplete responses, or 0 once they have expired.
+/// They expire some time after the last ejection, since the server would
+/// otherwise never be tried again.
 int recentIncompleteResponses(const Server &server, base::Instant now);
 
-/// What a change of what is believed of a server rests on.
+/// Source of a change in a server's state.
 enum class Evidence {
   Store,    ///< The store's list, read by this gateway.
   Gateway,  ///< Another gateway.
-  Notice,   ///< The process beside the server.
+  Notice,   ///< The sidecar next to the server.
   Address,  ///< Another server answered at its address.
-  Absence,  ///< It was not listed again in time.
-  Requests, ///< How requests ended there.
+  Absence,  ///< The server was not listed again in time.
+  Requests, ///< Outcomes of requests to the server.
 };
 std::string_view toString(Evidence evidence);
 
-/// A server that a gateway avoids, as it tells the others.
+/// A server ejected by a gateway, as sent to the others.
 struct EjectedServer {
   std::string Id;
   int IncompleteResponses = 0;
@@ -87,104 +92,108 @@
   base::milliseconds StartedAt{0};
 };
 
-/// One life of a server: it may start again under its id.
+/// One process lifetime of a server; a restarted server may reuse its id.
 struct ServerInstance {
   std::string Id;
-  /// When it started, as a Unix time; 0 when it does not say.
+  /// Start time as Unix time; 0 when unknown.
   base::milliseconds StartedAt{0};
   bool operator==(const ServerInstance &) const = default;
 };
 
-/// What the process beside a server says of it.
+/// A sidecar's notice about the server next to it.
 struct ServerNotice {
-  /// The server as it would be listed.
+  /// The server's entry as it would be listed.
   ListedServer Entry;
   bool IsLeaving = false;
-  /// How long until it is gone; 0 when it does not say.
+  /// Time until the server shuts down; 0 when unknown.
   base::milliseconds LeavesIn{0};
 };
 
 class Directory {
 public:
-  /// After the earliest time at which the store can have returned, lapsed
-  /// entries have this long to come back: the servers write theirs again within
-  /// two seconds, and after three a gateway is bound by what has gone.
+  /// Time for expired entries to reappear, counted from the earliest time at
+  /// which the store can have returned. Servers rewrite their entries within
+  /// two seconds, and a gateway must stop using removed servers after three.
   static constexpr base::milliseconds OutageGrace{2'700};
-  /// How often servers renew their entries unless the settings say otherwise.
+  /// Default interval at which servers renew their entries.
   static constexpr base::milliseconds DefaultRenewalInterval{1'200};
-  /// A server that the list has lost, or that is leaving, is forgotten after
-  /// this: its last requests have ended by then.
+  /// Time after which a server that is leaving and no longer listed is
+  /// forgotten. Its last requests have ended by then.
   static constexpr base::seconds RemovedServerRetention{60};
 
   explicit Directory(base::milliseconds renewal = DefaultRenewalInterval)
       : ExpiryTime(MissedRenewals * renewal) {}
 
-  /// Called when a server is first known to leave.
+  /// Called when a server is first known to be leaving.
   std::function<void(const Server &)> OnLeaving;
-  /// Called when a server is newly listed, or another one has answered at its
-  /// address: the list may lag behind what is there.
+  /// Called when a server is newly listed or has restarted, or when another
+  /// server answered at its address. The list may be out of date then.
   std::function<void(const Server &)> OnUnverified;
-  /// Called with a sentence for each change of what is believed.
+  /// Called with the event's name for each change of a server's state.
   std::function<void(std::string_view event, Evidence, const Server &)>
       OnChange;
 
-  /// Called when the store is heard again after an outage, with its length.
+  /// Called with the length of a store outage when contact is re-established.
   std::function<void(base::Duration)> OnOutageEnd;
 
-  /// True when a listed server is known here as it is listed there.
+  /// Returns true if the server is listed here with the same state, address and
+  /// start time.
   bool isListedAs(const ListedServer &listed) const;
 
-  /// True when the list holds the server, as far as is known here.
+  /// Returns true if the server is in the latest known list.
   bool isListed(std::string_view id) const;
 
-  /// Takes the whole list: what is not in it has gone, unless it was listed by
-  /// a later revision.
+  /// Applies a complete list. Servers missing from it are removed unless they
+  /// were listed at a later revision.
   void applySnapshot(base::Instant now, const ServerList &list,
                      Evidence evidence = Evidence::Store);
-  /// Takes an entry, unless a later revision of it, or a later life of the
+  /// Applies an entry unless a later revision of it, or a later instance of the
   /// server, is known.
   void put(base::Instant now, const ListedServer &server,
            Evidence evidence = Evidence::Store);
-  /// The list no longer holds the server, unless a later revision is known.
+  /// Removes the server's entry unless a later revision is known.
   void remove(base::Instant now, const RemovedServer &gone,
               Evidence evidence = Evidence::Store);
-  /// The server itself, or another gateway, says that it is leaving.
+  /// Marks a server as leaving, as announced by another gateway.
   void markLeaving(base::Instant now, const ServerInstance &life);
-  /// Applies a sidecar's notice: which server is there, perhaps before the list
-  /// names it, and whether it is leaving.
+  /// Applies a sidecar's notice, which identifies the server at an address,
+  /// possibly before it is listed, and states whether it is leaving.
   void applyNotice(base::Instant now, const ServerNotice &notice);
-  /// Another server answered at its address: it has ended.
+  /// Marks a server as ended because another server answered at its address.
   void markReplaced(base::Instant now, std::string_view id);
 
-  /// The store's list was read at `at`, by this gateway or by one that says so
-  /// itself, and no outage is known to the reader since `since`.
+  /// Records that the store's list was read at `at`, by this gateway or another
+  /// one that reads it itself, and that the reader has seen no store outage
+  /// since `since`.
   void recordStoreContact(base::Instant at, base::Instant since);
-  /// Since when no outage of the store is known.
+  /// Returns the time since which no store outage is known.
   base::Instant storeStableSince() const { return StoreStableSince; }
-  /// Evicts servers that were not listed again in time.
+  /// Marks servers as leaving that were not listed again in time, and evicts
+  /// those that left long ago.
   void tick(base::Instant now);
 
   void recordOutcome(base::Instant now, std::string_view id,
                      ServerOutcome outcome);
-  /// Another gateway avoids a server.
+  /// Applies another gateway's ejection of a server.
   void applyEjection(base::Instant now, const EjectedServer &avoided);
-  /// The servers that broken answers make this gateway avoid.
+  /// Returns the servers that this gateway ejects because of incomplete
+  /// responses.
   std::vector<EjectedServer> ejected(base::Instant now) const;
   void requestStarted(std::string_view id);
   void requestEnded(std::string_view id);
 
   const Server *find(std::string_view id) const;
   std::vector<const Server *> all() const;
-  /// Returns the servers of a service that may get new work. When all of them
-  /// are avoided for failing, returns them all the same.
+  /// Returns the servers of a service that may receive new requests. When all
+  /// of them are ejected, returns all of them.
   std::vector<const Server *> usable(base::Instant now,
                                      std::string_view service) const;
-  /// The list as it was told, with what has gone, for other gateways.
+  /// Returns the list as received, with removed entries, for other gateways.
   ServerList list() const;
-  /// The servers that have lately become known to be leaving, not by absence
-  /// alone, for other gateways.
+  /// Returns servers that recently became known to be leaving, other than by
+  /// absence alone, for other gateways.
   std::vector<ServerInstance> leaving(base::Instant now) const;
-  /// A number that is the same when two gateways have been told the same list.
+  /// Returns a hash that is equal for gateways with the same list.
   std::uint64_t digest() const;
   bool isEmpty() const { return Servers.empty(); }
 
@@ -198,19 +207,20 @@
                     const Server &server) const;
   bool mayHaveExpired(base::Instant now) const;
 
-  /// Entries lapse after three renewals are missed; the first of them may have
-  /// been due right after the store went away.
+  /// Entries expire after three missed renewals. The first of them may have
+  /// been due right after the store became unavailable, so two intervals
+  /// without contact suffice.
   static constexpr int MissedRenewals = 2;
 
   std::map<std::string, Server, std::less<>> Servers;
   base::milliseconds ExpiryTime;
   base::Instant StoreContactAt{};
   base::Instant StoreStableSince{};
-  /// When the store was last heard before the latest outage.
+  /// Last store contact before the latest outage.
   base::Instant OutageStart{};
   base::Instant GraceUntil{};
   mutable std::uint64_t Digest = 0;
-  /// False when the list has changed since the digest was worked out.
+  /// False when the list has changed since the digest was computed.
   mutable bool IsDigestCurrent = false;
 };
 
--- a/include/drumlanding/gateway/event-log.h
+++ b/include/drumlanding/gateway/event-log.h
@@ -1,11 +1,12 @@
-/// Event log: one JSON object a line on standard output, for each decision that
-/// touches a request or changes what the process believes.
+/// Event log: writes one JSON object per line to standard output for every
+/// decision that affects a request and every change in the process's view of
+/// its environment.
 ///
 ///   EventLog log("front-1");
 ///   log.write("request-ended", {{"request", id}, {"status", 200}});
 ///
-/// Writing never waits: a reader that does not read costs lines, which are
-/// counted and told with the next line that gets through.
+/// Writing never blocks. Lines that the reader does not keep up with are
+/// dropped; their number is added to the next line that is written.
 #pragma once
 
 #include <cstdint>
@@ -36,8 +37,8 @@
 
 class EventLog {
 public:
-  /// `process` names this process in each line. `descriptor` is where lines
-  /// go: standard output.
+  /// `process` is the process name in each line. `descriptor` is the file to
+  /// write to, standard output by default.
   explicit EventLog(std::string process, int descriptor = 1);
 
   void write(std::string_view event, std::initializer_list<LogField> fields);
--- a/include/drumlanding/gateway/event-splitter.h
+++ b/include/drumlanding/gateway/event-splitter.h
@@ -1,12 +1,12 @@
-/// Event splitter: cuts a body of server-sent events into whole events, and
-/// lets each pass once.
+/// Event splitter: splits a stream of server-sent events into complete events
+/// and drops duplicates.
 ///
 ///   EventSplitter splitter;
-///   std::string whole = splitter.feed(bytes);    // whole, new events only
+///   std::string events = splitter.feed(bytes);   // complete, new events only
 ///   splitter.lastId();
 ///
-/// An event that a broken connection has cut stays behind, so that the stream
-/// can go on from another server.
+/// An event truncated by a lost connection is held back, so that another server
+/// can resume the stream.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,14 @@
 
 class EventSplitter {
 public:
-  /// Takes bytes and returns the whole events among them whose ids are above
-  /// all before. Events without an id pass.
+  /// Appends bytes and returns the complete events whose ids are greater than
+  /// all previous ones. Events without an id are always returned.
   std::string feed(std::string_view bytes);
 
-  /// Forgets a cut event: the next bytes come from another connection.
+  /// Discards a truncated event before bytes from another connection follow.
   void discardPartialEvent() { Pending.clear(); }
 
-  /// True when an event has been begun and not ended.
+  /// Returns true if the buffer holds the start of an incomplete event.
   bool hasPartialEvent() const { return !Pending.empty(); }
   std::optional<std::int64_t> lastId() const { return LastId; }
   std::uint64_t eventCount() const { return EventCount; }
--- a/include/drumlanding/gateway/migration-order.h
+++ b/include/drumlanding/gateway/migration-order.h
@@ -1,12 +1,12 @@
-/// Move plan: in which order the generations of an engine that leaves are
-/// moved, and when a copy must start.
+/// Migration order: the order in which generations leave a draining engine, and
+/// how long each copy takes.
 ///
-///   if (isTurn(ledger.runsOn(server), own)) ...
+///   if (isNextToMigrate(runs.runsOn(server), own)) ...
 ///   base::Duration t = copyTime(engine, tokens, isOtherZone);
 ///
-/// Copies share the engine's link and queue on it. All gateways work out the
-/// same order from what they tell each other, and move one generation after
-/// another: each is then stopped only for its own last, short copy.
+/// Copies share the engine's link and queue on it. All gateways compute the
+/// same order from the state they exchange and migrate one generation at a
+/// time, so that each generation is paused only for its own short final copy.
 #pragma once
 
 #include "drumlanding/gateway/config.h"
@@ -16,16 +16,16 @@
 
 namespace drumlanding::gateway {
 
-/// True when a generation may go on for longer than an engine's shortest
-/// notice, so that it is worth a move at once.
+/// Returns true if a generation may run longer than an engine's shortest
+/// shutdown notice, so that migrating it immediately pays off.
 bool mayOutlastNotice(const TrackedRun &run);
 
-/// True when no generation that comes before `own` is among those that still
-/// run there. Those that have begun and may go on for long come first, of these
-/// the ones that are worth most for the time that their copy takes.
+/// Returns true if no generation on the engine precedes `own`. Generations that
+/// have produced output and may run long come first, ordered by value per copy
+/// time.
 bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own);
 
-/// Returns how long a copy takes when nothing else is on the links.
+/// Returns the duration of a copy over otherwise idle links.
 base::Duration copyTime(const EngineTraits &engine, std::uint64_t tokens,
                         bool isOtherZone);
 
--- a/include/drumlanding/gateway/peers.h
+++ b/include/drumlanding/gateway/peers.h
@@ -1,9 +1,10 @@
-/// Peers: the other gateways, known from a few seed addresses and from what
-/// they tell each other.
+/// Peers: the other gateways, discovered through seed addresses and through the
+/// addresses that gateways send each other.
 ///
-///   Peers peers({"front-1", own, incarnation, seeds});
-///   for (const base::Endpoint &to : peers.due(now)) send(to, gossip);
-///   peers.heard(now, gossip);
+///   Peers peers(now, {"front-1", own, incarnation, seeds});
+///   for (const base::Endpoint &to : peers.sendTargets(now))
+///     send(to, gossip);
+///   peers.recordMessage(now, gossip);
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -36,14 +37,14 @@
   std::uint64_t Incarnation = 0;
   base::Instant LastSeenAt{};
   std::uint64_t ConfigVersion = 0;
-  /// When its list of servers was last heard from the store.
+  /// When its server list was last known to match the store's.
   base::Instant ListUpdatedAt{};
-  /// It reads the store's list itself.
+  /// True when it reads the store's server list itself.
   bool WatchesList = false;
 };
 
-/// A list of servers that was heard from the store longer ago than this is old:
-/// news of the store come several times a second.
+/// Age from which a server list counts as outdated: the store sends changes
+/// several times a second.
 inline constexpr base::milliseconds MaxListAge{1'500};
 
 class Peers {
@@ -51,39 +52,41 @@
   Peers(base::Instant now, PeersOptions options);
 
   enum class ReceiveResult {
-    Ignored,     ///< Our own message, or one that says nothing of use.
-    NewInstance, ///< The first message in a life of the other gateway.
+    Ignored,     ///< A message of this gateway itself, or one with an invalid
+                 ///< address.
+    NewInstance, ///< First message of a new instance of the other gateway.
     Known,
   };
-  /// Notes a message from another gateway.
+  /// Records a message from another gateway.
   ReceiveResult recordMessage(base::Instant now, const wire::Gossip &gossip);
 
-  /// Returns whom to tell now: everyone live, and the seeds and addresses
-  /// heard of that have not answered, more seldom.
+  /// Returns the addresses to send to now: all live gateways and, less often,
+  /// seeds and discovered addresses that have not answered.
   std::vector<base::Endpoint> sendTargets(base::Instant now);
 
   std::vector<Peer> live(base::Instant now) const;
 
-  /// A gateway did not answer a question: those that failed longer ago are
-  /// asked first.
+  /// Records that a gateway did not answer a fetch. Later fetches prefer
+  /// gateways whose last failure is older.
   void recordFetchFailure(base::Instant now, const Peer &peer);
 
   /// Returns a gateway whose config is newer than `version`.
   std::optional<Peer> withNewerConfig(base::Instant now,
                                       std::uint64_t version) const;
 
-  /// Returns a gateway whose list of servers is clearly newer than this
-  /// gateway's: changes of it that should have come were lost.
+  /// Returns a gateway whose server list is clearly newer than this gateway's,
+  /// which means that changes were lost on their way here.
   std::optional<Peer> withNewerList(base::Instant now,
                                     base::Instant ownListFrom) const;
 
-  /// True when this gateway is among the few that follow the store's list of
-  /// servers for all. While the others' lists are old, everyone follows it.
+  /// Returns true if this gateway is one of the few that watch the store's
+  /// server list on behalf of all. While the others' lists are outdated, every
+  /// gateway watches it.
   bool shouldWatchList(base::Instant now) const;
 
-  /// Returns how many gateways may be sending requests, this one included:
-  /// all heard lately, since one that is cut off goes on, and many for a while
-  /// after the start, when nobody has been heard yet.
+  /// Returns how many gateways may be sending requests, including this one.
+  /// Counts all recently seen ones, because an isolated gateway keeps sending,
+  /// and assumes many just after the start, when no others have been seen yet.
   int gatewayCount(base::Instant now) const;
 
 private:
@@ -91,7 +94,7 @@
     Peer Gateway;
     bool HasAnswered = false;
     base::Instant NextSendAt{};
-    /// When it last did not answer a question: others are asked first.
+    /// Time of the last unanswered fetch; others are preferred.
     base::Instant FailedAt{};
     base::Instant AddedAt{};
   };
@@ -102,7 +105,7 @@
 
   PeersOptions Options;
   base::Instant StartedAt;
-  /// By address.
+  /// Contacts by address.
   std::map<std::string, Contact> Contacts;
 };
 
--- a/include/drumlanding/gateway/placement.h
+++ b/include/drumlanding/gateway/placement.h
@@ -1,9 +1,9 @@
-/// Placement: which backend server takes a request.
+/// Placement: chooses the backend server for a request.
 ///
-///   Placement p(directory, ledger, "hall-a");
-///   Choice c = p.forGeneration(now, service, demand, tried);
-///   Choice c = p.forMove(now, service, demand, source, tried);
-///   const Server *s = p.forCall(now, "shop", tried, random);
+///   Placement p(directory, runs, "hall-a");
+///   Choice c = p.chooseForGeneration(now, service, demand, tried);
+///   Choice c = p.chooseForMigration(now, service, demand, source, tried);
+///   const Server *s = p.chooseForRequest(now, "shop", tried, random);
 #pragma once
 
 #include "drumlanding/base/hash.h"
@@ -16,13 +16,13 @@
 
 namespace drumlanding::gateway {
 
-/// What a generation needs of an engine.
+/// Tokens that a generation needs on an engine.
 struct Demand {
   std::uint32_t PromptTokens = 0;
   std::uint32_t ExpectedTokens = 0;
 };
 
-/// Why an engine was chosen, for the log.
+/// A chosen engine and the values behind the choice, for the log.
 struct Choice {
   const Server *Chosen = nullptr;
   EngineLoad Load;
@@ -36,26 +36,26 @@
             std::string zone)
       : Servers(directory), Runs(ledger), Zone(std::move(zone)) {}
 
-  /// Chooses an engine for a new generation by the delay that it would meet and
-  /// cause there, and by the memory that it would find.
+  /// Chooses an engine for a new generation, by the delay that the generation
+  /// would encounter and cause there and by the available KV cache.
   Choice chooseForGeneration(base::Instant now, const Service &service,
                              const Demand &demand,
                              std::span<const std::string> tried) const;
 
-  /// Chooses the engine that a running generation moves to from `source`: also
-  /// by the way that its copy has, and by the copies that are on theirs.
+  /// Chooses the destination for migrating a generation from `source`. Also
+  /// considers the network path of the copy and other copies in transit.
   Choice chooseForMigration(base::Instant now, const Service &service,
                             const Demand &demand, const Server &source,
                             std::span<const std::string> tried) const;
 
   /// Chooses a plain server: the one with the fewest open requests of this
-  /// gateway for its slots, and of equals one of the same zone.
+  /// gateway and, among equals, one in the same zone.
   const Server *chooseForRequest(base::Instant now, std::string_view service,
                                  std::span<const std::string> tried,
                                  base::Random &random) const;
 
 private:
-  /// Returns the engine with the least cost of its own and of its way.
+  /// Returns the engine with the lowest sum of engine and network cost.
   template <typename WayCost>
   Choice choose(base::Instant now, const Service &service, const Demand &demand,
                 std::span<const std::string> tried, WayCost wayCost) const;
--- a/include/drumlanding/gateway/protocol-codec.h
+++ b/include/drumlanding/gateway/protocol-codec.h
@@ -1,9 +1,10 @@
-/// Dialect: how callers and backend servers say what the gateway means. The
-/// gateway knows no header, path or field of theirs: hooks translate.
+/// Protocol codec: callbacks that translate between the gateway's types and the
+/// HTTP headers, paths and fields of clients and backend servers. The gateway
+/// itself depends on none of these.
 ///
-///   Dialect dialect = platform::makeDialect();
-///   CallerRequest r = dialect.ReadRequest(std::move(request));
-///   http::Request out = dialect.ToServer(r, order);
+///   ProtocolCodec codec = platform::makeDialect();
+///   CallerRequest r = codec.DecodeRequest(std::move(request));
+///   http::Request out = codec.EncodeServerRequest(r, metadata);
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -20,34 +21,37 @@
 
 namespace drumlanding::gateway {
 
-/// A caller's request as the gateway understands it.
+/// A decoded client request.
 struct CallerRequest {
-  /// As sent, less what only concerns the caller's connection, the key, and
-  /// what only the gateway may say to a server.
+  /// The request as received, without connection headers, the API key, and
+  /// headers that only the gateway may send to a server.
   http::Request Http;
-  /// Names this attempt of the caller; empty when it is missing.
+  /// Identifies this attempt of the client; empty when the client sent none.
   std::string AttemptId;
   std::string Host;
   std::string Key;
-  /// How long the caller will wait.
+  /// Maximum time that the client waits for the response.
   std::optional<base::milliseconds> Timeout;
-  /// Generations: the prompt's tokens, the most and the expected output.
+  /// Generations: number of prompt tokens, and maximum and expected number of
+  /// output tokens.
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxTokens = 0;
   std::uint32_t ExpectedTokens = 0;
 };
 
-/// A copy of a running generation's memory, and where the stream goes on.
+/// Where a stream resumes: a copy of the generation's KV cache, and the last
+/// event that the client has received.
 struct ResumePoint {
-  /// The server that made the copy, or holds it, and the copy's name there.
+  /// The server that made or holds the copy, and the copy's handle there.
   base::Endpoint Address;
   std::string Handle;
   std::int64_t LastEventId = 0;
 };
 
-/// What the gateway tells a server beside the caller's request.
+/// What the gateway sends to a server in addition to the client's request.
 struct RequestMetadata {
-  /// The server's id; another server at its address must not run the request.
+  /// The intended server; any other server at the address must not run the
+  /// request.
   std::string ServerId;
   std::optional<base::milliseconds> TimeRemaining;
   std::string Organisation;
@@ -56,26 +60,26 @@
   std::optional<ResumePoint> ResumeFrom;
 };
 
-/// What a server's answer says.
+/// The decoded head of a server's response.
 struct ServerResponse {
   int Status = 0;
-  /// False when it answers another request.
+  /// False when the response belongs to another request.
   bool MatchesAttempt = false;
-  /// The server vouches for it.
+  /// The response carries the server's stamp, which confirms its origin.
   bool IsStamped = false;
-  /// The server says that the request did not run.
+  /// The server states that the request did not run.
   bool HasNotRun = false;
-  /// Another server answers at this address.
+  /// Another server than the intended one answered at this address.
   bool IsWrongServer = false;
-  /// The headers to pass on.
+  /// Headers to forward to the client.
   std::vector<http::Header> Headers;
 };
 
-/// A server's report of its own state.
+/// A server's report on its own state.
 struct ServerReport {
   bool IsLeaving = false;
   std::optional<base::milliseconds> LeavesIn;
-  /// When it started, as a Unix time; 0 when it does not say.
+  /// Start time as Unix time; 0 when unknown.
   base::milliseconds StartedAt{0};
   int Running = 0;
   int Waiting = 0;
@@ -83,25 +87,26 @@
   std::uint64_t TotalTokens = 0;
 };
 
-/// An order to copy a running generation's memory to another server.
+/// Request to copy a running generation's KV cache to another server.
 struct CopyRequest {
   std::string AttemptId;
   base::Endpoint To;
-  /// The run stops before this copy, which is the last.
+  /// The generation stops before this copy, and no further copy follows.
   bool IsLast = false;
 };
 
-/// What became of a MoveOrder.
+/// Response to a CopyRequest.
 struct CopyResponse {
   enum class Outcome {
     Copied,
-    NoSuchRun, ///< It has not begun to run, or is over.
-    Busy,      ///< A copy is under way already.
-    NoRoom,    ///< No room at the destination, or no way there.
+    NoSuchRun, ///< The generation has not started, or has ended.
+    Busy,      ///< A copy is already in progress.
+    NoRoom,    ///< The destination has no room or is unreachable.
     Failed,
   };
   Outcome Code = Outcome::Failed;
-  /// Names the copy; also given when a last copy failed, for the source.
+  /// Handle of the copy. Also set when a final copy failed: the source then
+  /// still holds the KV cache under it.
   std::string Handle;
   std::uint64_t EventsGenerated = 0;
 };
@@ -112,7 +117,7 @@
       EncodeServerRequest;
   std::function<ServerResponse(const CallerRequest &, const http::AnswerHead &)>
       DecodeResponseHead;
-  /// Puts the attempt's id on an answer of the gateway's own.
+  /// Adds the attempt id to a response that the gateway itself generates.
   std::function<void(const CallerRequest &, http::Response &)> AddAttemptId;
   std::function<http::Request(const CopyRequest &)> EncodeCopyRequest;
   std::function<CopyResponse(const base::Result<http::Response> &)>
@@ -122,9 +127,9 @@
   std::function<base::Result<ServerReport>(const http::Response &)>
       DecodeReport;
   std::function<http::Request()> EncodeHealthRequest;
-  /// Reads a server's id from its health answer; empty when it is not well.
+  /// Returns the server's id from a health response; empty when unhealthy.
   std::function<std::string(const http::Response &)> DecodeHealth;
-  /// The path at which a caller's balancer asks whether the gateway is ready.
+  /// Path of the readiness check for load balancers.
   std::string ReadyPath;
 };
 
--- a/include/drumlanding/gateway/retry-budget.h
+++ b/include/drumlanding/gateway/retry-budget.h
@@ -1,9 +1,9 @@
-/// Retry budget: how many second sends the gateways may add to a service's
-/// requests, all of them together, without talking about it.
+/// Retry budget: limits the retries that all gateways together add to a
+/// service's requests, without coordination between them.
 ///
 ///   RetryBudget budget({0.2, 56, std::chrono::seconds(10)});
-///   budget.firstSend(now, "shop");
-///   if (budget.tryRetry(now, "shop", gateways)) send();
+///   budget.recordFirstSend(now, "shop");
+///   if (budget.tryRetry(now, "shop", gatewayCount)) send();
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -16,9 +16,9 @@
 namespace drumlanding::gateway {
 
 struct RetryBudgetOptions {
-  /// Retries for each first send.
+  /// Retries allowed per first send.
   double RetryRatio = 0.2;
-  /// Retries that all gateways together may add to that in a window.
+  /// Additional retries per window, shared by all gateways.
   double ExtraRetries = 0;
   base::milliseconds Window{10'000};
 };
@@ -29,8 +29,9 @@
 
   void setOptions(const RetryBudgetOptions &options) { Options = options; }
   void recordFirstSend(base::Instant now, std::string_view service);
-  /// Takes one retry; false when this gateway's part is used up. `gateways` is
-  /// how many share the allowance, this one included.
+  /// Takes one retry from the budget. Returns false if this gateway's share is
+  /// used up. `gateways` is the number of gateways that share the budget,
+  /// including this one.
   bool tryRetry(base::Instant now, std::string_view service, int gateways);
 
 private:
--- a/include/drumlanding/gateway/routes.h
+++ b/include/drumlanding/gateway/routes.h
@@ -1,7 +1,6 @@
-/// Routes: finds what the config in force says of a request.
+/// Routes: looks up a request's route and organisation in the config.
 ///
-///   RouteTable table;
-///   table.take(config);                          // never an older one
+///   RouteTable table(config);
 ///   const Route *r = table.find("shop.example:80", "/cart/2f");
 ///   const Organisation *o = table.organisationOf(key);
 #pragma once
@@ -15,8 +14,8 @@
 
 namespace drumlanding::gateway {
 
-/// A config and its indexes; never changed, so that a request keeps the one
-/// that it began with.
+/// A config and its indexes. Immutable, so that a request keeps the config that
+/// it started with.
 class RouteTable {
 public:
   explicit RouteTable(Config config);
@@ -25,26 +24,26 @@
 
   const Config &config() const { return Current; }
 
-  /// Returns the route with the longest prefix that begins the path, or null.
-  /// The host may carry a port and any case.
+  /// Returns the route with the longest path prefix that matches, or null. The
+  /// host is case-insensitive and may include a port.
   const Route *find(std::string_view host, std::string_view path) const;
 
-  /// Returns the holder of a key, or null.
+  /// Returns the organisation that owns a key, or null.
   const Organisation *organisationOf(const std::string &key) const;
 
-  /// True when requests need a key, unless their route is public.
+  /// Returns true if requests on non-public routes need a key.
   bool needsKeys() const { return !Current.Organisations.empty(); }
 
 private:
   Config Current;
-  /// The routes of a host, longest prefix first.
+  /// Routes by host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route *>> ByHost;
   std::unordered_map<std::string, const Organisation *> ByKey;
 };
 
 using RouteTablePointer = std::shared_ptr<const RouteTable>;
 
-/// Picks one of the route's services by weight.
+/// Picks one of the route's services at random, by weight.
 std::string_view chooseService(const Route &route, base::Random &random);
 
 } // namespace drumlanding::gateway
--- a/include/drumlanding/gateway/run-delta.h
+++ b/include/drumlanding/gateway/run-delta.h
@@ -1,9 +1,9 @@
-/// Told runs: what the other gateways have been told of this gateway's runs, so
-/// that a message carries only what has changed.
+/// Run delta: tracks which of this gateway's runs the other gateways have
+/// received, so that a message carries only changes.
 ///
-///   ToldRuns told;
-///   RunNews news = told.newsOf(ledger.ownRuns());
-///   if (!news.isEmpty()) send(news);
+///   RunDeltaTracker tracker;
+///   RunDelta delta = tracker.nextDelta(runs.ownRuns());
+///   if (!delta.isEmpty()) send(delta);
 #pragma once
 
 #include "drumlanding/gateway/run-table.h"
@@ -24,8 +24,8 @@
 
 class RunDeltaTracker {
 public:
-  /// Returns what has changed since the last call, and takes it as told.
-  /// Progress alone is no news: it is told with the whole.
+  /// Returns the changes since the last call and marks them as sent. Progress
+  /// alone is no change: it is sent with the full state.
   RunDelta nextDelta(std::span<const TrackedRun> runs);
 
 private:
--- a/include/drumlanding/gateway/run-table.h
+++ b/include/drumlanding/gateway/run-table.h
@@ -1,11 +1,11 @@
-/// Ledger: the generations that run on each engine, from this gateway and from
-/// the others, and what they will make of its memory.
+/// Run table: the generations on each engine, started by this and other
+/// gateways, and their forecast KV cache usage.
 ///
-///   Ledger ledger;
-///   ledger.begin(now, server, run);
-///   ledger.progress(now, runId, 40, true);
-///   auto loads = ledger.loads();
-///   ledger.end(runId);
+///   RunTable runs;
+///   runs.upsert(run);
+///   runs.updateProgress(runId, 40);
+///   auto loads = runs.loads();
+///   runs.remove(runId);
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -20,7 +20,7 @@
 
 namespace drumlanding::gateway {
 
-/// Names a generation among all gateways: a hash of its attempt's id.
+/// Identifies a generation across all gateways: a hash of its attempt id.
 using RunId = std::uint64_t;
 
 /// A generation on an engine.
@@ -28,59 +28,59 @@
   RunId Id = 0;
   std::string Server;
   std::uint32_t PromptTokens = 0;
-  /// The caller's estimate of its output, and the most it may make.
+  /// The client's estimate of the output length, and its limit.
   std::uint32_t ExpectedTokens = 0;
   std::uint32_t MaxTokens = 0;
   std::uint32_t GeneratedTokens = 0;
   bool HasFirstToken = false;
-  /// The engine that a copy of its memory is on its way to, or at; empty when
-  /// there is none.
+  /// The engine that a copy of the KV cache is being sent to or is stored on;
+  /// empty when there is none.
   std::string CopyServer;
   base::Instant StartedAt{};
 };
 
-/// What is known of an engine's work.
+/// Load of an engine as known to this gateway.
 struct EngineLoad {
   int Running = 0;
-  /// Copies of other engines' runs, on their way or there.
+  /// Copies of other engines' generations, in transit or stored.
   int IncomingCopies = 0;
-  /// Prompt tokens that wait to be read.
+  /// Prompt tokens that wait for prefill.
   std::uint64_t PendingPromptTokens = 0;
-  /// Memory in use, and forecast for the near future.
+  /// KV cache in use, and forecast for the near future.
   std::uint64_t UsedTokens = 0;
   std::uint64_t ForecastTokens = 0;
 };
 
-/// Returns how many tokens a generation is expected to add yet.
+/// Returns the number of tokens that a generation is forecast to add.
 std::uint32_t expectedRemainingTokens(const TrackedRun &run);
 
 class RunTable {
 public:
-  /// Called when a run has come, changed its place, begun or ended.
+  /// Called when a run is added, changed, moved to another server or removed,
+  /// but not on progress.
   std::function<void()> OnChange;
 
-  /// Notes a run of this gateway. A run that exists moves to the new server.
+  /// Adds a run of this gateway, or replaces it, for example after a migration.
   void upsert(const TrackedRun &run);
   void updateProgress(RunId id, std::uint32_t madeTokens);
   void remove(RunId id);
 
-  /// Replaces what another gateway has told of its runs.
+  /// Replaces all runs of another gateway.
   void applyPeerSnapshot(base::Instant now, const std::string &peer,
                          std::vector<TrackedRun> runs);
-  /// Adds another gateway's news: runs that are new or have changed, and those
-  /// that have ended.
+  /// Applies another gateway's delta: new or changed runs, and ended ones.
   void applyPeerDelta(base::Instant now, const std::string &peer,
                       const std::vector<TrackedRun> &changed,
                       const std::vector<RunId> &ended);
-  /// Forgets gateways that have not told anything for a while.
+  /// Forgets gateways that have sent nothing for a while.
   void tick(base::Instant now);
 
-  /// The loads of all engines that have any, by server, in one pass over the
-  /// runs. Valid until the next change.
+  /// Returns the load of every engine that has any, by server, in one pass over
+  /// the runs. Valid until the next change.
   std::unordered_map<std::string_view, EngineLoad> loads() const;
-  /// All generations that run on a server, the other gateways' too.
+  /// Returns all generations on a server, including other gateways' runs.
   std::vector<TrackedRun> runsOn(std::string_view server) const;
-  /// This gateway's runs, to be told to the others.
+  /// Returns this gateway's runs, to be sent to the others.
   std::vector<TrackedRun> ownRuns() const;
 
 private:
--- a/include/drumlanding/gateway/store-reader.h
+++ b/include/drumlanding/gateway/store-reader.h
@@ -1,8 +1,8 @@
-/// Source: where the gateway gets the operators' config and the list of backend
-/// servers from. Hooks translate; the gateway decides when to ask.
+/// Store reader: callbacks that read the config and the list of backend servers
+/// from the store. The gateway decides when to call them.
 ///
-///   Source source = platform::makeSource(store);
-///   Result<ConfigText> c = co_await source.ReadConfig();
+///   StoreReader reader = platform::makeSource(store);
+///   Result<ConfigText> c = co_await reader.ReadConfig();
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -18,18 +18,19 @@
 
 namespace drumlanding::gateway {
 
-/// A config as the operators wrote it; empty when none is there.
+/// The config as written by the operators; empty when there is none.
 struct ConfigText {
-  /// The source's revision, from which a watch goes on.
+  /// The store's revision, from which a watch continues.
   std::uint64_t Revision = 0;
   std::string Text;
 };
 
-/// A server's new entry, or none when it is gone or names no usable server.
+/// A change of a server's entry. `Listed` is unset if the entry was removed or
+/// does not describe a usable server.
 struct ServerChange {
   std::string Id;
   std::optional<ListedServer> Listed;
-  /// Why the entry names no usable server; empty when it is gone.
+  /// Why the entry is not usable; empty if it was removed.
   std::string Problem = {};
   /// The store's revision of the change.
   std::uint64_t Revision = 0;
@@ -40,9 +41,9 @@
   std::vector<ServerChange> Changes;
 };
 
-/// Watches answer as soon as something has changed, or with nothing after
-/// `wait`. Their error is NotFound when that part of the history is gone: the
-/// whole must be read again.
+/// Watches return as soon as something has changed, or without changes after
+/// `wait`. They fail with NotFound if the history since the given revision has
+/// been compacted; a complete read (resync) must follow.
 struct StoreReader {
   template <typename T>
   using AsyncResult = boost::asio::awaitable<base::Result<T>>;
--- a/src/gateway/datagram-socket.cc
+++ b/src/gateway/datagram-socket.cc
@@ -10,7 +10,8 @@
 using asio::ip::udp;
 using boost::system::error_code;
 
-/// The network carries a datagram in one piece or loses it.
+/// Receive buffer size; the network delivers a datagram in one piece or not at
+/// all.
 constexpr std::size_t LargestDatagram = 60'000;
 
 udp::endpoint toUdp(const base::Endpoint &e) {
@@ -40,7 +41,8 @@
 
 void DatagramSocket::reply(const Sender &to, std::string_view bytes) {
   error_code ec;
-  // A full link loses it: it is told again.
+  // A datagram lost on a full link is not repeated here: its content is sent
+  // again.
   Socket.send_to(asio::buffer(bytes), to, 0, ec);
 }
 
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -9,24 +9,25 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Weight of the newest outcome in a server's failure part.
+/// Weight of the newest outcome in a server's failure rate.
 constexpr double OutcomeWeight = 0.2;
-/// A server that fails more often than this is avoided. Services whose answers
-/// fail by themselves stay far below it (the worst known: 0.14).
+/// A server that fails more often than this is ejected. Services that regularly
+/// return failures stay far below it (highest known rate: 0.14).
 constexpr double MostFailures = 0.6;
-/// An avoided server is tried again after this.
+/// Ejection time of such a server before it is tried again.
 constexpr base::milliseconds AvoidTime{1'500};
-/// After a broken answer a server is avoided for this long, twice as long after
-/// each further one, and at most for MostAvoidTime: callers' requests are the
-/// only trials, since health answers may be wrong.
+/// Ejection time after the first incomplete response. It doubles with each
+/// further one up to MaxEjectionTime. Only client requests test whether a
+/// server has recovered, since its health responses may be wrong.
 constexpr base::milliseconds FirstAvoidTime{1'000};
 constexpr base::milliseconds MostAvoidTime{8'000};
-/// The others are told of a leaving server for so long: ten messages.
+/// Time during which a leaving server is announced to the other gateways: ten
+/// messages.
 constexpr base::seconds TellLeaving{5};
-/// BrokenAnswers are forgotten this long after the last time of avoidance, in
-/// case that no short request comes as a trial.
+/// Time after the last ejection at which incomplete responses expire, in case
+/// no short request arrives as a trial.
 constexpr base::milliseconds BrokenAnswersExpiry{10'000};
-/// One that could not be reached gets no new work for this long.
+/// Time for which an unreachable server gets no new requests.
 constexpr base::milliseconds UnreachableTime{1'000};
 
 base::milliseconds avoidTime(int brokenAnswers) {
@@ -35,12 +36,12 @@
   return std::min(FirstAvoidTime * (1 << doublings), MostAvoidTime);
 }
 
-/// True when a later revision of the server is known.
+/// Returns true if a later revision of the server is known.
 bool isOlder(std::uint64_t revision, const Server &server) {
   return revision != 0 && revision < server.Revision;
 }
 
-/// True when both lives are known and `a` ended before `b` began.
+/// Returns true if both start times are known and `a` is an earlier instance.
 bool isEarlierLife(base::milliseconds a, base::milliseconds b) {
   return a.count() > 0 && b.count() > 0 && a < b;
 }
@@ -145,8 +146,8 @@
     setLeaving(now, server, evidence);
 }
 
-/// Forgets what was known of the server's life before; requests that are open
-/// there still have to end.
+/// Resets the state of the server's earlier instance. Open requests are kept
+/// because they still have to end.
 void Directory::restart(Server &server, base::milliseconds bornAt,
                         Evidence evidence) {
   Server fresh{server.Listed};
@@ -190,7 +191,7 @@
     remove(now, gone, evidence);
   }
   std::vector<RemovedServer> absent;
-  // One that was only met is not yet expected in the list.
+  // A server known only from a notice is not expected in the list yet.
   for (const auto &[id, server] : Servers)
     if (server.IsListed && !ids.contains(id) &&
         server.Revision <= list.Revision)
@@ -221,7 +222,8 @@
   setLeaving(now, it->second, Evidence::Gateway);
 }
 
-/// Only one server can have an address: whoever else is listed there has ended.
+/// An address belongs to one server only: any other server listed there has
+/// ended.
 void Directory::replaceOthersAt(base::Instant now, const ListedServer &seen) {
   for (auto &[id, server] : Servers) {
     if (id == seen.Id || server.Listed.Address != seen.Address ||
@@ -239,7 +241,7 @@
   if (it == Servers.end() && notice.IsLeaving)
     return;
   if (it == Servers.end()) {
-    // The list does not hold it yet.
+    // The list does not contain the server yet.
     it = Servers.emplace(notice.Entry.Id, Server{notice.Entry}).first;
     reportChange("server-met", Evidence::Notice, it->second);
   }
@@ -269,7 +271,8 @@
 }
 
 void Directory::recordStoreContact(base::Instant at, base::Instant since) {
-  // The reader heard the store all through what looked like an outage here.
+  // The reader had contact with the store throughout what looked like an outage
+  // to this gateway.
   if (GraceUntil != base::Instant{} && since <= OutageStart) {
     GraceUntil = {};
     StoreStableSince = std::min(StoreStableSince, since);
@@ -281,7 +284,7 @@
     return;
   StoreStableSince = since;
   OutageStart = before;
-  // Without known servers there is nothing that could have lapsed.
+  // Without known servers, no entry can have expired.
   if (Servers.empty())
     return;
   GraceUntil = since + OutageGrace;
@@ -325,7 +328,7 @@
   if (server.FailureRate < MostFailures)
     return;
   server.EjectedUntil = now + AvoidTime;
-  // The next outcomes decide whether it is avoided again.
+  // The next outcomes decide whether the server is ejected again.
   server.FailureRate = MostFailures - OutcomeWeight;
   reportChange("server-avoided", Evidence::Requests, server);
 }
--- a/src/gateway/event-log.cc
+++ b/src/gateway/event-log.cc
@@ -8,7 +8,8 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// A pipe that takes anything takes this much at once (POSIX, PIPE_BUF).
+/// A pipe that is ready for writing accepts this many bytes at once (POSIX
+/// PIPE_BUF).
 constexpr std::size_t MostLineBytes = 4'096;
 
 void addText(std::string &line, std::string_view text) {
--- a/src/gateway/event-splitter.cc
+++ b/src/gateway/event-splitter.cc
@@ -6,8 +6,8 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Returns the offset behind the blank line that ends the first event; npos
-/// when the event is not whole.
+/// Returns the offset after the blank line that ends the first event, or npos
+/// if the event is incomplete.
 std::size_t findEnd(std::string_view text) {
   std::size_t from = 0;
   for (;;) {
--- a/src/gateway/migration-order.cc
+++ b/src/gateway/migration-order.cc
@@ -6,26 +6,25 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Tokens that an engine makes for one generation within its shortest notice:
-/// 1.5 s at 10 ms a token.
+/// Tokens generated for one request within the shortest shutdown notice: 1.5 s
+/// at 10 ms per token.
 constexpr std::uint32_t TokensInNotice = 150;
-/// An output token is worth this many prompt tokens to the callers (from their
-/// sheet of what counts).
+/// Value of an output token in prompt tokens, from the clients' specification.
 constexpr double OutputWeight = 10;
 /// Copies between zones take twice as long as within one.
 constexpr int OtherZoneFactor = 2;
 constexpr double BitsPerByte = 8;
 
-/// Returns what a run is worth for the time that its copy takes. Only what
-/// every gateway knows alike and what does not change decides.
+/// Returns a run's value per copy time. Uses only values that are the same at
+/// every gateway and do not change during the run.
 double worthOf(const TrackedRun &run) {
   const double output = std::min(run.ExpectedTokens, run.MaxTokens);
   const double prompt = std::max(run.PromptTokens, 1U);
   return (prompt + OutputWeight * output) / prompt;
 }
 
-/// A copy that is under way is not overtaken, and what has not begun has
-/// nothing to copy yet.
+/// Orders runs for migration. A copy in progress is not overtaken, and a run
+/// that has produced no output has nothing to copy yet.
 bool comesBefore(const TrackedRun &a, const TrackedRun &b) {
   const auto rank = [](const TrackedRun &run) {
     const bool isMoving = run.HasFirstToken && !run.CopyServer.empty();
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -8,22 +8,24 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Without a message for so long a gateway is not told anything any more: six
-/// messages at one each half second.
+/// Time without messages after which a gateway no longer counts as live: six
+/// messages at one every half second.
 constexpr base::milliseconds LiveTime{3'000};
-/// One that was heard within this time still counts for shared limits.
+/// Time since its last message for which a gateway still counts towards shared
+/// limits.
 constexpr base::seconds CountTime{15};
-/// Within this time after the start the others become known; until then there
-/// may be as many as this (a site of 100 VMs has some 30).
+/// Discovery takes up to this long after the start; until then, this many
+/// gateways are assumed (a site of 100 VMs has about 30).
 constexpr base::seconds MeetTime{4};
 constexpr int UnknownGateways = 30;
-/// Gateways that follow the store's list: two, so that one can fail.
+/// Gateways that watch the store's list: two, so that one can fail.
 constexpr int Watchers = 2;
-/// Another gateway's list is clearly newer when it is so by this much.
+/// Minimum difference in age at which another gateway's list is clearly newer.
 constexpr base::milliseconds ListIsNewer{1'000};
-/// How often silent addresses are tried.
+/// Interval at which silent addresses are contacted.
 constexpr base::milliseconds TryEvery{1'000};
-/// An address that never answers is dropped, unless it is a seed.
+/// Time after which an address that does not answer is dropped, unless it is a
+/// seed.
 constexpr base::seconds DropAfter{20};
 
 } // namespace
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -5,39 +5,43 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Time to read one prompt token, from the engines' data sheet (14 a ms).
+/// Prefill time per prompt token, from the engines' data sheet (14 tokens/ms).
 constexpr double ReadMsPerToken = 1.0 / 14;
-/// Cost of each token that an engine will hold: memory is what an engine runs
-/// out of, and an engine with many generations cannot be left in time. With
-/// this figure one more long generation weighs as much as its prompt's wait.
+/// Cost per token that an engine is forecast to hold. KV cache is an engine's
+/// scarcest resource, and an engine with many generations cannot be drained in
+/// time. With this value, one more long generation weighs as much as waiting
+/// for the prefill of its prompt.
 constexpr double HoldMsPerToken = 0.06;
-/// Cost of a server that fails, by the part of its recent answers, and of each
-/// broken answer since its last whole one: an engine that breaks everything off
-/// is the emptiest of all.
+/// Costs of a server's failure rate and of each incomplete response since its
+/// last complete one. Without them, an engine that breaks off every response
+/// would be preferred as the least loaded.
 constexpr double FailureMs = 2'000;
 constexpr double BrokenAnswerMs = 500;
-/// Cost of such an engine for what should not be its next trial: a generation
-/// that is worth much, or a second one while the first has not come back.
+/// Cost of an engine with incomplete responses for a request that should not be
+/// its next trial: a long generation, or a second one while the first has not
+/// completed.
 constexpr double UntriedMs = 10'000;
-/// Output of a generation that is worth little, from the callers' sheets: their
-/// short kind makes some 16 tokens, the long one 750.
+/// Maximum expected output of a trial generation. According to the clients'
+/// data sheets, short generations produce about 16 tokens and long ones 750.
 constexpr std::uint32_t TrialTokens = 100;
-/// Above this part of its memory an engine begins to preempt.
+/// Fraction of its KV cache above which an engine starts to preempt.
 constexpr double MemoryLimit = 0.92;
-/// Cost of each token above that limit: a preempted generation is read anew.
+/// Cost of each token above that limit: a preempted generation repeats its
+/// prefill.
 constexpr double OverflowMsPerToken = 2;
-/// Cost of another zone: bytes between zones are paid for.
+/// Cost of placing a request in another zone: traffic between zones is charged.
 constexpr double OtherZoneMs = 120;
-/// Copies between zones take twice as long.
+/// Cost of copying to another zone, which takes twice as long.
 constexpr double OtherZoneCopyMs = 900;
-/// Cost of each copy that is on its way to an engine: copies wait for each
-/// other on its link, a quarter of a second each.
+/// Cost of each copy in transit to an engine: copies queue on its link, for a
+/// quarter of a second each.
 constexpr double IncomingCopyMs = 1'500;
-/// Engines that leave at the same moment have not heard of each other's copies
-/// yet: each ranks the destinations a little differently, up to this.
+/// Maximum of a fixed cost per pair of servers. Engines that start to leave at
+/// the same time do not know of each other's copies yet; this spreads them over
+/// destinations.
 constexpr double SpreadMs = 300;
 
-/// The same for plain servers, in open requests.
+/// Costs of failures for plain servers, in open requests.
 constexpr double FailureRank = 2;
 constexpr double BrokenAnswerRank = 1;
 
@@ -45,13 +49,14 @@
   return std::find(tried.begin(), tried.end(), id) != tried.end();
 }
 
-/// True when a generation may show whether an engine that broke answers is well
-/// again: a short one, and one at a time.
+/// Returns true if a generation may test whether an engine with incomplete
+/// responses has recovered: a short one, and one at a time.
 bool isTrial(const Demand &demand, const EngineLoad &load) {
   return demand.ExpectedTokens <= TrialTokens && load.Running == 0;
 }
 
-/// Returns what a generation meets and causes on an engine.
+/// Returns the cost of a generation on an engine: the delay that it would
+/// encounter and cause there.
 double engineCost(base::Instant now, const Server &server,
                   const EngineTraits &engine, const EngineLoad &load,
                   const Demand &demand) {
@@ -70,7 +75,7 @@
   return cost;
 }
 
-/// Returns a fixed number from 0 to 1 for a pair of servers.
+/// Returns a number from 0 to 1 that is fixed for a pair of servers.
 double rankOf(const Server &a, const Server &b) {
   base::Random random(base::hash64(a.Listed.Id, base::hash64(b.Listed.Id)));
   return random.unit();
@@ -83,7 +88,7 @@
                          const Demand &demand,
                          std::span<const std::string> tried,
                          WayCost wayCost) const {
-  // A route may send a part of its streams to a plain service.
+  // A route may send part of its streams to a plain service.
   const EngineTraits engine = service.Engine.value_or(EngineTraits());
   const auto loads = Runs.loads();
   Choice best;
@@ -135,7 +140,8 @@
   for (const Server *server : Servers.usable(now, service)) {
     if (wasTried(tried, server->Listed.Id))
       continue;
-    // Below one open request: first the zone, then chance.
+    // Both terms stay below one open request: the zone counts first, then
+    // chance.
     const double tie = server->Listed.Zone == Zone ? 0 : 0.5;
     const double rank =
         server->OpenRequests + tie + random.unit() * 0.4 +
--- a/src/gateway/retry-budget.cc
+++ b/src/gateway/retry-budget.cc
@@ -5,8 +5,8 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Part of the allowance that is used: gateways may have been replaced within
-/// a window, and those that were not known then have used theirs.
+/// Fraction of the budget that is used. Gateways may have been replaced within
+/// a window, and the replaced ones have used their share.
 constexpr double SafePart = 0.6;
 
 void dropBefore(std::deque<base::Instant> &times, base::Instant from) {
--- a/src/gateway/run-table.cc
+++ b/src/gateway/run-table.cc
@@ -5,13 +5,15 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// A gateway that is silent for so long (three of its reports) has no say.
+/// Time without messages after which a gateway's runs are ignored: three of its
+/// full reports.
 constexpr base::milliseconds PeerSilence{1'800};
-/// Tokens that a generation makes within the time that placement looks ahead:
-/// four seconds at 8 ms a token.
+/// Tokens generated within placement's forecast horizon: four seconds at 8 ms
+/// per token.
 constexpr std::uint32_t HorizonTokens = 500;
-/// A generation that has outrun its estimate goes on for this part of what it
-/// has made: estimates are right at the median and widely spread.
+/// A generation that has exceeded its estimate is forecast to produce this
+/// fraction of its output again: estimates are right at the median, but widely
+/// spread.
 constexpr double OutrunPart = 0.5;
 
 void addMemory(EngineLoad &load, const TrackedRun &run) {
