--- a/include/drumlanding/gateway/datagram-socket.h
+++ b/include/drumlanding/gateway/datagram-socket.h
@@ -28,7 +28,7 @@
   using Handler = std::function<void(std::string_view bytes, const Sender &)>;
 
   static base::Result<std::unique_ptr<DatagramSocket>>
-  open(asio::io_context &io, const base::Endpoint &at);
+  open(asio::io_context &io, const base::Endpoint &address);
 
   void send(const base::Endpoint &to, std::string_view bytes);
   void reply(const Sender &to, std::string_view bytes);
--- a/include/drumlanding/gateway/directory.h
+++ b/include/drumlanding/gateway/directory.h
@@ -152,20 +152,20 @@
   void put(base::Instant now, const ListedServer &server,
            Evidence evidence = Evidence::Store);
   /// Removes the server's entry unless a later revision is known.
-  void remove(base::Instant now, const RemovedServer &gone,
+  void remove(base::Instant now, const RemovedServer &removed,
               Evidence evidence = Evidence::Store);
   /// Marks a server as leaving, as announced by another gateway.
-  void markLeaving(base::Instant now, const ServerInstance &life);
+  void markLeaving(base::Instant now, const ServerInstance &instance);
   /// Applies a sidecar's notice, which identifies the server at an address,
   /// possibly before it is listed, and states whether it is leaving.
   void applyNotice(base::Instant now, const ServerNotice &notice);
   /// Marks a server as ended because another server answered at its address.
   void markReplaced(base::Instant now, std::string_view id);
 
-  /// Records that the store's list was read at `at`, by this gateway or another
-  /// one that reads it itself, and that the reader has seen no store outage
-  /// since `since`.
-  void recordStoreContact(base::Instant at, base::Instant since);
+  /// Records that the store's list was read at `readAt`, by this gateway or
+  /// another one that reads it itself, and that the reader has seen no store
+  /// outage since `stableSince`.
+  void recordStoreContact(base::Instant readAt, base::Instant stableSince);
   /// Returns the time since which no store outage is known.
   base::Instant storeStableSince() const { return StoreStableSince; }
   /// Marks servers as leaving that were not listed again in time, and evicts
@@ -175,7 +175,7 @@
   void recordOutcome(base::Instant now, std::string_view id,
                      ServerOutcome outcome);
   /// Applies another gateway's ejection of a server.
-  void applyEjection(base::Instant now, const EjectedServer &avoided);
+  void applyEjection(base::Instant now, const EjectedServer &ejected);
   /// Returns the servers that this gateway ejects because of incomplete
   /// responses.
   std::vector<EjectedServer> ejected(base::Instant now) const;
@@ -201,8 +201,8 @@
   void setLeaving(base::Instant now, Server &server, Evidence evidence);
   void presumeLeaving(base::Instant now, Server &server, Evidence evidence);
   void markAbsent(Server &server, Evidence evidence);
-  void restart(Server &server, base::milliseconds bornAt, Evidence evidence);
-  void replaceOthersAt(base::Instant now, const ListedServer &seen);
+  void restart(Server &server, base::milliseconds startedAt, Evidence evidence);
+  void replaceOthersAt(base::Instant now, const ListedServer &entry);
   void reportChange(std::string_view event, Evidence evidence,
                     const Server &server) const;
   bool mayHaveExpired(base::Instant now) const;
--- a/include/drumlanding/gateway/migration-order.h
+++ b/include/drumlanding/gateway/migration-order.h
@@ -23,7 +23,8 @@
 /// Returns true if no generation on the engine precedes `own`. Generations that
 /// have produced output and may run long come first, ordered by value per copy
 /// time.
-bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own);
+bool isNextToMigrate(std::span<const TrackedRun> onEngine,
+                     const TrackedRun &own);
 
 /// Returns the duration of a copy over otherwise idle links.
 base::Duration copyTime(const EngineTraits &engine, std::uint64_t tokens,
--- a/include/drumlanding/gateway/peers.h
+++ b/include/drumlanding/gateway/peers.h
@@ -77,7 +77,7 @@
   /// Returns a gateway whose server list is clearly newer than this gateway's,
   /// which means that changes were lost on their way here.
   std::optional<Peer> withNewerList(base::Instant now,
-                                    base::Instant ownListFrom) const;
+                                    base::Instant ownListUpdatedAt) const;
 
   /// Returns true if this gateway is one of the few that watch the store's
   /// server list on behalf of all. While the others' lists are outdated, every
@@ -101,7 +101,7 @@
   void add(base::Instant now, const base::Endpoint &address);
   std::optional<Peer>
   leastRecentlyFailed(base::Instant now,
-                      const std::function<bool(const Peer &)> &isNewer) const;
+                      const std::function<bool(const Peer &)> &matches) const;
 
   PeersOptions Options;
   base::Instant StartedAt;
--- a/include/drumlanding/gateway/placement.h
+++ b/include/drumlanding/gateway/placement.h
@@ -56,9 +56,10 @@
 
 private:
   /// Returns the engine with the lowest sum of engine and network cost.
-  template <typename WayCost>
+  template <typename NetworkCost>
   Choice choose(base::Instant now, const Service &service, const Demand &demand,
-                std::span<const std::string> tried, WayCost wayCost) const;
+                std::span<const std::string> tried,
+                NetworkCost networkCost) const;
 
   const Directory &Servers;
   const RunTable &Runs;
--- a/include/drumlanding/gateway/retry-budget.h
+++ b/include/drumlanding/gateway/retry-budget.h
@@ -30,16 +30,16 @@
   void setOptions(const RetryBudgetOptions &options) { Options = options; }
   void recordFirstSend(base::Instant now, std::string_view service);
   /// Takes one retry from the budget. Returns false if this gateway's share is
-  /// used up. `gateways` is the number of gateways that share the budget,
+  /// used up. `gatewayCount` is the number of gateways that share the budget,
   /// including this one.
-  bool tryRetry(base::Instant now, std::string_view service, int gateways);
+  bool tryRetry(base::Instant now, std::string_view service, int gatewayCount);
 
 private:
   struct ServiceUsage {
     std::deque<base::Instant> FirstSends;
     std::deque<base::Instant> Retries;
   };
-  void dropExpired(base::Instant now, ServiceUsage &use) const;
+  void dropExpired(base::Instant now, ServiceUsage &usage) const;
 
   RetryBudgetOptions Options;
   std::map<std::string, ServiceUsage, std::less<>> UsageByService;
--- a/include/drumlanding/gateway/run-table.h
+++ b/include/drumlanding/gateway/run-table.h
@@ -62,7 +62,7 @@
 
   /// Adds a run of this gateway, or replaces it, for example after a migration.
   void upsert(const TrackedRun &run);
-  void updateProgress(RunId id, std::uint32_t madeTokens);
+  void updateProgress(RunId id, std::uint32_t generatedTokens);
   void remove(RunId id);
 
   /// Replaces all runs of another gateway.
--- a/src/gateway/datagram-socket.cc
+++ b/src/gateway/datagram-socket.cc
@@ -12,7 +12,7 @@
 
 /// Receive buffer size; the network delivers a datagram in one piece or not at
 /// all.
-constexpr std::size_t LargestDatagram = 60'000;
+constexpr std::size_t MaxDatagramBytes = 60'000;
 
 udp::endpoint toUdp(const base::Endpoint &e) {
   error_code ec;
@@ -22,17 +22,17 @@
 } // namespace
 
 base::Result<std::unique_ptr<DatagramSocket>>
-DatagramSocket::open(asio::io_context &io, const base::Endpoint &at) {
-  std::unique_ptr<DatagramSocket> datagrams(new DatagramSocket(io));
-  const udp::endpoint endpoint = toUdp(at);
+DatagramSocket::open(asio::io_context &io, const base::Endpoint &address) {
+  std::unique_ptr<DatagramSocket> socket(new DatagramSocket(io));
+  const udp::endpoint endpoint = toUdp(address);
   error_code ec;
-  datagrams->Socket.open(endpoint.protocol(), ec);
+  socket->Socket.open(endpoint.protocol(), ec);
   if (!ec)
-    datagrams->Socket.bind(endpoint, ec);
+    socket->Socket.bind(endpoint, ec);
   if (ec)
-    return base::Error{base::ErrorCode::Unavailable, base::toString(at),
+    return base::Error{base::ErrorCode::Unavailable, base::toString(address),
                        ec.message()};
-  return datagrams;
+  return socket;
 }
 
 void DatagramSocket::send(const base::Endpoint &to, std::string_view bytes) {
@@ -47,16 +47,17 @@
 }
 
 asio::awaitable<void> DatagramSocket::receive(Handler handle) {
-  std::vector<char> buf(LargestDatagram);
+  std::vector<char> buf(MaxDatagramBytes);
   for (;;) {
-    Sender from;
+    Sender sender;
     error_code ec;
     const std::size_t n = co_await Socket.async_receive_from(
-        asio::buffer(buf), from, asio::redirect_error(asio::use_awaitable, ec));
+        asio::buffer(buf), sender,
+        asio::redirect_error(asio::use_awaitable, ec));
     if (ec == asio::error::operation_aborted)
       co_return;
     if (!ec)
-      handle({buf.data(), n}, from);
+      handle({buf.data(), n}, sender);
   }
 }
 
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -13,27 +13,27 @@
 constexpr double OutcomeWeight = 0.2;
 /// A server that fails more often than this is ejected. Services that regularly
 /// return failures stay far below it (highest known rate: 0.14).
-constexpr double MostFailures = 0.6;
+constexpr double MaxFailureRate = 0.6;
 /// Ejection time of such a server before it is tried again.
-constexpr base::milliseconds AvoidTime{1'500};
+constexpr base::milliseconds FailureRateEjectionTime{1'500};
 /// Ejection time after the first incomplete response. It doubles with each
 /// further one up to MaxEjectionTime. Only client requests test whether a
 /// server has recovered, since its health responses may be wrong.
-constexpr base::milliseconds FirstAvoidTime{1'000};
-constexpr base::milliseconds MostAvoidTime{8'000};
+constexpr base::milliseconds BaseEjectionTime{1'000};
+constexpr base::milliseconds MaxEjectionTime{8'000};
 /// Time during which a leaving server is announced to the other gateways: ten
 /// messages.
-constexpr base::seconds TellLeaving{5};
+constexpr base::seconds LeavingBroadcastTime{5};
 /// Time after the last ejection at which incomplete responses expire, in case
 /// no short request arrives as a trial.
-constexpr base::milliseconds BrokenAnswersExpiry{10'000};
+constexpr base::milliseconds IncompleteResponsesExpiry{10'000};
 /// Time for which an unreachable server gets no new requests.
-constexpr base::milliseconds UnreachableTime{1'000};
+constexpr base::milliseconds UnreachableEjectionTime{1'000};
 
-base::milliseconds avoidTime(int brokenAnswers) {
-  constexpr int MostDoublings = 3;
-  const int doublings = std::clamp(brokenAnswers - 1, 0, MostDoublings);
-  return std::min(FirstAvoidTime * (1 << doublings), MostAvoidTime);
+base::milliseconds ejectionTime(int incompleteResponses) {
+  constexpr int MaxDoublings = 3;
+  const int doublings = std::clamp(incompleteResponses - 1, 0, MaxDoublings);
+  return std::min(BaseEjectionTime * (1 << doublings), MaxEjectionTime);
 }
 
 /// Returns true if a later revision of the server is known.
@@ -42,14 +42,14 @@
 }
 
 /// Returns true if both start times are known and `a` is an earlier instance.
-bool isEarlierLife(base::milliseconds a, base::milliseconds b) {
+bool isEarlierInstance(base::milliseconds a, base::milliseconds b) {
   return a.count() > 0 && b.count() > 0 && a < b;
 }
 
 } // namespace
 
 int recentIncompleteResponses(const Server &server, base::Instant now) {
-  return now < server.EjectedUntil + BrokenAnswersExpiry
+  return now < server.EjectedUntil + IncompleteResponsesExpiry
              ? server.IncompleteResponses
              : 0;
 }
@@ -126,9 +126,9 @@
     return;
   }
   Server &server = it->second;
-  if (isEarlierLife(listed.StartedAt, server.Listed.StartedAt))
+  if (isEarlierInstance(listed.StartedAt, server.Listed.StartedAt))
     return;
-  if (isEarlierLife(server.Listed.StartedAt, listed.StartedAt))
+  if (isEarlierInstance(server.Listed.StartedAt, listed.StartedAt))
     restart(server, listed.StartedAt, evidence);
   if (server.IsMissing)
     reportChange("server-listed-again", evidence, server);
@@ -148,10 +148,10 @@
 
 /// Resets the state of the server's earlier instance. Open requests are kept
 /// because they still have to end.
-void Directory::restart(Server &server, base::milliseconds bornAt,
+void Directory::restart(Server &server, base::milliseconds startedAt,
                         Evidence evidence) {
   Server fresh{server.Listed};
-  fresh.Listed.StartedAt = bornAt;
+  fresh.Listed.StartedAt = startedAt;
   fresh.Listed.State = ServerState::Ready;
   fresh.Revision = server.Revision;
   fresh.IsListed = server.IsListed;
@@ -168,12 +168,12 @@
   return now < GraceUntil || now - StoreContactAt >= ExpiryTime;
 }
 
-void Directory::remove(base::Instant now, const RemovedServer &gone,
+void Directory::remove(base::Instant now, const RemovedServer &removed,
                        Evidence evidence) {
-  const auto it = Servers.find(gone.Id);
-  if (it == Servers.end() || isOlder(gone.Revision, it->second))
+  const auto it = Servers.find(removed.Id);
+  if (it == Servers.end() || isOlder(removed.Revision, it->second))
     return;
-  it->second.Revision = gone.Revision;
+  it->second.Revision = removed.Revision;
   markAbsent(it->second, evidence);
   if (!mayHaveExpired(now))
     presumeLeaving(now, it->second, evidence);
@@ -186,9 +186,9 @@
     ids.insert(listed.Id);
     put(now, listed, evidence);
   }
-  for (const RemovedServer &gone : list.Removed) {
-    ids.insert(gone.Id);
-    remove(now, gone, evidence);
+  for (const RemovedServer &removed : list.Removed) {
+    ids.insert(removed.Id);
+    remove(now, removed, evidence);
   }
   std::vector<RemovedServer> absent;
   // A server known only from a notice is not expected in the list yet.
@@ -196,8 +196,8 @@
     if (server.IsListed && !ids.contains(id) &&
         server.Revision <= list.Revision)
       absent.push_back({id, list.Revision});
-  for (const RemovedServer &gone : absent)
-    remove(now, gone, evidence);
+  for (const RemovedServer &removed : absent)
+    remove(now, removed, evidence);
 }
 
 bool Directory::isListed(std::string_view id) const {
@@ -212,21 +212,21 @@
          known->Listed.StartedAt == listed.StartedAt;
 }
 
-void Directory::markLeaving(base::Instant now, const ServerInstance &life) {
-  const auto it = Servers.find(life.Id);
+void Directory::markLeaving(base::Instant now, const ServerInstance &instance) {
+  const auto it = Servers.find(instance.Id);
   if (it == Servers.end() ||
-      isEarlierLife(life.StartedAt, it->second.Listed.StartedAt))
+      isEarlierInstance(instance.StartedAt, it->second.Listed.StartedAt))
     return;
-  if (isEarlierLife(it->second.Listed.StartedAt, life.StartedAt))
-    restart(it->second, life.StartedAt, Evidence::Gateway);
+  if (isEarlierInstance(it->second.Listed.StartedAt, instance.StartedAt))
+    restart(it->second, instance.StartedAt, Evidence::Gateway);
   setLeaving(now, it->second, Evidence::Gateway);
 }
 
 /// An address belongs to one server only: any other server listed there has
 /// ended.
-void Directory::replaceOthersAt(base::Instant now, const ListedServer &seen) {
+void Directory::replaceOthersAt(base::Instant now, const ListedServer &entry) {
   for (auto &[id, server] : Servers) {
-    if (id == seen.Id || server.Listed.Address != seen.Address ||
+    if (id == entry.Id || server.Listed.Address != entry.Address ||
         server.IsReplaced)
       continue;
     server.IsReplaced = true;
@@ -246,9 +246,9 @@
     reportChange("server-met", Evidence::Notice, it->second);
   }
   Server &server = it->second;
-  if (isEarlierLife(notice.Entry.StartedAt, server.Listed.StartedAt))
+  if (isEarlierInstance(notice.Entry.StartedAt, server.Listed.StartedAt))
     return;
-  if (isEarlierLife(server.Listed.StartedAt, notice.Entry.StartedAt))
+  if (isEarlierInstance(server.Listed.StartedAt, notice.Entry.StartedAt))
     restart(server, notice.Entry.StartedAt, Evidence::Notice);
   replaceOthersAt(now, notice.Entry);
   if (!notice.IsLeaving)
@@ -270,26 +270,27 @@
     OnUnverified(it->second);
 }
 
-void Directory::recordStoreContact(base::Instant at, base::Instant since) {
+void Directory::recordStoreContact(base::Instant readAt,
+                                   base::Instant stableSince) {
   // The reader had contact with the store throughout what looked like an outage
   // to this gateway.
-  if (GraceUntil != base::Instant{} && since <= OutageStart) {
+  if (GraceUntil != base::Instant{} && stableSince <= OutageStart) {
     GraceUntil = {};
-    StoreStableSince = std::min(StoreStableSince, since);
+    StoreStableSince = std::min(StoreStableSince, stableSince);
   }
-  if (at <= StoreContactAt)
+  if (readAt <= StoreContactAt)
     return;
-  const base::Instant before = std::exchange(StoreContactAt, at);
-  if (at - before < ExpiryTime || since <= before)
+  const base::Instant previousContact = std::exchange(StoreContactAt, readAt);
+  if (readAt - previousContact < ExpiryTime || stableSince <= previousContact)
     return;
-  StoreStableSince = since;
-  OutageStart = before;
+  StoreStableSince = stableSince;
+  OutageStart = previousContact;
   // Without known servers, no entry can have expired.
   if (Servers.empty())
     return;
-  GraceUntil = since + OutageGrace;
-  if (before != base::Instant{} && OnOutageEnd)
-    OnOutageEnd(since - before);
+  GraceUntil = stableSince + OutageGrace;
+  if (previousContact != base::Instant{} && OnOutageEnd)
+    OnOutageEnd(stableSince - previousContact);
 }
 
 void Directory::tick(base::Instant now) {
@@ -297,10 +298,10 @@
     Server &server = it->second;
     if (server.IsMissing && !mayHaveExpired(now))
       presumeLeaving(now, server, Evidence::Absence);
-    const bool isOver = server.IsLeaving && server.IsMissing &&
-                        server.OpenRequests == 0 &&
-                        now - server.LeavingSince > RemovedServerRetention;
-    it = isOver ? Servers.erase(it) : std::next(it);
+    const bool canForget = server.IsLeaving && server.IsMissing &&
+                           server.OpenRequests == 0 &&
+                           now - server.LeavingSince > RemovedServerRetention;
+    it = canForget ? Servers.erase(it) : std::next(it);
   }
 }
 
@@ -312,50 +313,50 @@
   Server &server = it->second;
   if (outcome == ServerOutcome::Incomplete) {
     server.IncompleteResponses = recentIncompleteResponses(server, now) + 1;
-    server.EjectedUntil = now + avoidTime(server.IncompleteResponses);
+    server.EjectedUntil = now + ejectionTime(server.IncompleteResponses);
     reportChange("server-avoided", Evidence::Requests, server);
     return;
   }
   if (outcome == ServerOutcome::Served)
     server.IncompleteResponses = 0;
   if (outcome == ServerOutcome::Unreachable) {
-    server.EjectedUntil = now + UnreachableTime;
+    server.EjectedUntil = now + UnreachableEjectionTime;
     reportChange("server-unreachable", Evidence::Requests, server);
     return;
   }
   const double failed = outcome == ServerOutcome::Served ? 0 : 1;
   server.FailureRate += OutcomeWeight * (failed - server.FailureRate);
-  if (server.FailureRate < MostFailures)
+  if (server.FailureRate < MaxFailureRate)
     return;
-  server.EjectedUntil = now + AvoidTime;
+  server.EjectedUntil = now + FailureRateEjectionTime;
   // The next outcomes decide whether the server is ejected again.
-  server.FailureRate = MostFailures - OutcomeWeight;
+  server.FailureRate = MaxFailureRate - OutcomeWeight;
   reportChange("server-avoided", Evidence::Requests, server);
 }
 
-void Directory::applyEjection(base::Instant now, const EjectedServer &avoided) {
-  const auto it = Servers.find(avoided.Id);
+void Directory::applyEjection(base::Instant now, const EjectedServer &ejected) {
+  const auto it = Servers.find(ejected.Id);
   if (it == Servers.end() ||
-      avoided.IncompleteResponses <=
+      ejected.IncompleteResponses <=
           recentIncompleteResponses(it->second, now) ||
-      isEarlierLife(avoided.StartedAt, it->second.Listed.StartedAt))
+      isEarlierInstance(ejected.StartedAt, it->second.Listed.StartedAt))
     return;
-  it->second.IncompleteResponses = avoided.IncompleteResponses;
+  it->second.IncompleteResponses = ejected.IncompleteResponses;
   it->second.EjectedUntil =
       std::max(it->second.EjectedUntil,
-               now + std::min(avoided.Remaining, MostAvoidTime));
+               now + std::min(ejected.Remaining, MaxEjectionTime));
   reportChange("server-avoided", Evidence::Gateway, it->second);
 }
 
 std::vector<EjectedServer> Directory::ejected(base::Instant now) const {
-  std::vector<EjectedServer> avoided;
+  std::vector<EjectedServer> ejected;
   for (const auto &[id, server] : Servers)
     if (server.IncompleteResponses > 0 && server.EjectedUntil > now)
-      avoided.push_back(
+      ejected.push_back(
           {id, server.IncompleteResponses,
            base::milliseconds(base::toMs(server.EjectedUntil - now)),
            server.Listed.StartedAt});
-  return avoided;
+  return ejected;
 }
 
 void Directory::requestStarted(std::string_view id) {
@@ -384,14 +385,14 @@
 
 std::vector<const Server *> Directory::usable(base::Instant now,
                                               std::string_view service) const {
-  std::vector<const Server *> well;
-  std::vector<const Server *> avoided;
+  std::vector<const Server *> healthy;
+  std::vector<const Server *> ejected;
   for (const auto &[id, server] : Servers) {
     if (server.IsLeaving || server.Listed.Service != service)
       continue;
-    (now < server.EjectedUntil ? avoided : well).push_back(&server);
+    (now < server.EjectedUntil ? ejected : healthy).push_back(&server);
   }
-  return well.empty() ? avoided : well;
+  return healthy.empty() ? ejected : healthy;
 }
 
 ServerList Directory::list() const {
@@ -406,12 +407,12 @@
 }
 
 std::vector<ServerInstance> Directory::leaving(base::Instant now) const {
-  std::vector<ServerInstance> lives;
+  std::vector<ServerInstance> instances;
   for (const auto &[id, server] : Servers)
     if (server.IsLeaving && !server.IsPresumedLeaving && !server.IsMissing &&
-        now - server.LeavingSince < TellLeaving)
-      lives.push_back({id, server.Listed.StartedAt});
-  return lives;
+        now - server.LeavingSince < LeavingBroadcastTime)
+      instances.push_back({id, server.Listed.StartedAt});
+  return instances;
 }
 
 std::uint64_t Directory::digest() const {
--- a/src/gateway/event-log.cc
+++ b/src/gateway/event-log.cc
@@ -10,7 +10,7 @@
 
 /// A pipe that is ready for writing accepts this many bytes at once (POSIX
 /// PIPE_BUF).
-constexpr std::size_t MostLineBytes = 4'096;
+constexpr std::size_t MaxLineBytes = 4'096;
 
 void addText(std::string &line, std::string_view text) {
   line += '"';
@@ -65,7 +65,7 @@
   if (DroppedSinceLastLine > 0)
     addField(line, {"lines_dropped_before", DroppedSinceLastLine});
   line += "}\n";
-  if (line.size() > MostLineBytes || !canWrite(Descriptor) ||
+  if (line.size() > MaxLineBytes || !canWrite(Descriptor) ||
       ::write(Descriptor, line.data(), line.size()) !=
           static_cast<ssize_t>(line.size())) {
     ++Dropped;
--- a/src/gateway/event-splitter.cc
+++ b/src/gateway/event-splitter.cc
@@ -8,7 +8,7 @@
 
 /// Returns the offset after the blank line that ends the first event, or npos
 /// if the event is incomplete.
-std::size_t findEnd(std::string_view text) {
+std::size_t findEventEnd(std::string_view text) {
   std::size_t from = 0;
   for (;;) {
     const std::size_t line = text.find('\n', from);
@@ -23,7 +23,7 @@
   }
 }
 
-std::optional<std::int64_t> idOf(std::string_view event) {
+std::optional<std::int64_t> parseEventId(std::string_view event) {
   std::size_t from = 0;
   while (from < event.size()) {
     const std::size_t end = std::min(event.find('\n', from), event.size());
@@ -46,7 +46,7 @@
 } // namespace
 
 bool EventSplitter::isNew(std::string_view event) {
-  const auto id = idOf(event);
+  const auto id = parseEventId(event);
   if (!id)
     return true;
   if (LastId && *id <= *LastId)
@@ -58,19 +58,19 @@
 
 std::string EventSplitter::feed(std::string_view bytes) {
   Pending += bytes;
-  std::string whole;
-  std::string_view left = Pending;
+  std::string complete;
+  std::string_view remaining = Pending;
   for (;;) {
-    const std::size_t end = findEnd(left);
+    const std::size_t end = findEventEnd(remaining);
     if (end == std::string_view::npos)
       break;
-    const std::string_view event = left.substr(0, end);
+    const std::string_view event = remaining.substr(0, end);
     if (isNew(event))
-      whole += event;
-    left.remove_prefix(end);
+      complete += event;
+    remaining.remove_prefix(end);
   }
-  Pending = std::string(left);
-  return whole;
+  Pending = std::string(remaining);
+  return complete;
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/migration-order.cc
+++ b/src/gateway/migration-order.cc
@@ -17,7 +17,7 @@
 
 /// Returns a run's value per copy time. Uses only values that are the same at
 /// every gateway and do not change during the run.
-double worthOf(const TrackedRun &run) {
+double valuePerCopyTime(const TrackedRun &run) {
   const double output = std::min(run.ExpectedTokens, run.MaxTokens);
   const double prompt = std::max(run.PromptTokens, 1U);
   return (prompt + OutputWeight * output) / prompt;
@@ -27,9 +27,10 @@
 /// that has produced no output has nothing to copy yet.
 bool comesBefore(const TrackedRun &a, const TrackedRun &b) {
   const auto rank = [](const TrackedRun &run) {
-    const bool isMoving = run.HasFirstToken && !run.CopyServer.empty();
-    return std::make_tuple(isMoving, run.HasFirstToken, mayOutlastNotice(run),
-                           worthOf(run), run.Id);
+    const bool isMigrating = run.HasFirstToken && !run.CopyServer.empty();
+    return std::make_tuple(isMigrating, run.HasFirstToken,
+                           mayOutlastNotice(run), valuePerCopyTime(run),
+                           run.Id);
   };
   return rank(a) > rank(b);
 }
@@ -40,10 +41,12 @@
   return run.MaxTokens > TokensInNotice;
 }
 
-bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own) {
-  return std::none_of(there.begin(), there.end(), [&](const TrackedRun &other) {
-    return other.Id != own.Id && comesBefore(other, own);
-  });
+bool isNextToMigrate(std::span<const TrackedRun> onEngine,
+                     const TrackedRun &own) {
+  return std::none_of(onEngine.begin(), onEngine.end(),
+                      [&](const TrackedRun &other) {
+                        return other.Id != own.Id && comesBefore(other, own);
+                      });
 }
 
 base::Duration copyTime(const EngineTraits &engine, std::uint64_t tokens,
--- a/src/gateway/peers.cc
+++ b/src/gateway/peers.cc
@@ -10,23 +10,23 @@
 
 /// Time without messages after which a gateway no longer counts as live: six
 /// messages at one every half second.
-constexpr base::milliseconds LiveTime{3'000};
+constexpr base::milliseconds LiveTimeout{3'000};
 /// Time since its last message for which a gateway still counts towards shared
 /// limits.
-constexpr base::seconds CountTime{15};
+constexpr base::seconds SharedLimitTimeout{15};
 /// Discovery takes up to this long after the start; until then, this many
 /// gateways are assumed (a site of 100 VMs has about 30).
-constexpr base::seconds MeetTime{4};
-constexpr int UnknownGateways = 30;
+constexpr base::seconds DiscoveryTime{4};
+constexpr int AssumedGateways = 30;
 /// Gateways that watch the store's list: two, so that one can fail.
-constexpr int Watchers = 2;
+constexpr int WatcherCount = 2;
 /// Minimum difference in age at which another gateway's list is clearly newer.
-constexpr base::milliseconds ListIsNewer{1'000};
+constexpr base::milliseconds MinListAgeDifference{1'000};
 /// Interval at which silent addresses are contacted.
-constexpr base::milliseconds TryEvery{1'000};
+constexpr base::milliseconds ContactInterval{1'000};
 /// Time after which an address that does not answer is dropped, unless it is a
 /// seed.
-constexpr base::seconds DropAfter{20};
+constexpr base::seconds ContactExpiry{20};
 
 } // namespace
 
@@ -72,31 +72,32 @@
 }
 
 std::vector<base::Endpoint> Peers::sendTargets(base::Instant now) {
-  std::vector<base::Endpoint> due;
+  std::vector<base::Endpoint> targets;
   for (auto it = Contacts.begin(); it != Contacts.end();) {
     Contact &contact = it->second;
     const Peer &peer = contact.Gateway;
     const bool isSeed = std::find(Options.Seeds.begin(), Options.Seeds.end(),
                                   peer.Address) != Options.Seeds.end();
-    const base::Instant last = std::max(peer.LastSeenAt, contact.AddedAt);
-    if (!isSeed && now - last > DropAfter) {
+    const base::Instant lastActive = std::max(peer.LastSeenAt, contact.AddedAt);
+    if (!isSeed && now - lastActive > ContactExpiry) {
       it = Contacts.erase(it);
       continue;
     }
     ++it;
-    const bool isLive = contact.HasAnswered && now - peer.LastSeenAt < LiveTime;
+    const bool isLive =
+        contact.HasAnswered && now - peer.LastSeenAt < LiveTimeout;
     if (!isLive && now < contact.NextSendAt)
       continue;
-    contact.NextSendAt = now + TryEvery;
-    due.push_back(peer.Address);
+    contact.NextSendAt = now + ContactInterval;
+    targets.push_back(peer.Address);
   }
-  return due;
+  return targets;
 }
 
 std::vector<Peer> Peers::live(base::Instant now) const {
   std::vector<Peer> live;
   for (const auto &[address, contact] : Contacts)
-    if (contact.HasAnswered && now - contact.Gateway.LastSeenAt < LiveTime)
+    if (contact.HasAnswered && now - contact.Gateway.LastSeenAt < LiveTimeout)
       live.push_back(contact.Gateway);
   return live;
 }
@@ -108,13 +109,13 @@
 }
 
 std::optional<Peer> Peers::leastRecentlyFailed(
-    base::Instant now, const std::function<bool(const Peer &)> &isNewer) const {
+    base::Instant now, const std::function<bool(const Peer &)> &matches) const {
   std::optional<Peer> first;
   base::Instant firstFailedAt = base::Instant::max();
   for (const Peer &peer : live(now)) {
     const auto it = Contacts.find(base::toString(peer.Address));
     const base::Instant failedAt = it->second.FailedAt;
-    if (!isNewer(peer) || failedAt >= firstFailedAt)
+    if (!matches(peer) || failedAt >= firstFailedAt)
       continue;
     first = peer;
     firstFailedAt = failedAt;
@@ -129,24 +130,24 @@
 }
 
 std::optional<Peer> Peers::withNewerList(base::Instant now,
-                                         base::Instant ownListFrom) const {
+                                         base::Instant ownListUpdatedAt) const {
   return leastRecentlyFailed(now, [&](const Peer &peer) {
-    return peer.ListUpdatedAt - ownListFrom > ListIsNewer;
+    return peer.ListUpdatedAt - ownListUpdatedAt > MinListAgeDifference;
   });
 }
 
 bool Peers::shouldWatchList(base::Instant now) const {
   const std::vector<Peer> others = live(now);
-  const std::uint64_t own = base::hash64(base::toString(Options.Own));
-  int before = 0;
+  const std::uint64_t ownHash = base::hash64(base::toString(Options.Own));
+  int lowerHashes = 0;
   int watching = 0;
   for (const Peer &peer : others) {
     if (now - peer.ListUpdatedAt > MaxListAge)
       continue;
     watching += peer.WatchesList ? 1 : 0;
-    before += base::hash64(base::toString(peer.Address)) < own ? 1 : 0;
+    lowerHashes += base::hash64(base::toString(peer.Address)) < ownHash ? 1 : 0;
   }
-  return before < Watchers || watching == 0;
+  return lowerHashes < WatcherCount || watching == 0;
 }
 
 int Peers::gatewayCount(base::Instant now) const {
@@ -154,10 +155,11 @@
       std::count_if(Contacts.begin(), Contacts.end(), [&](const auto &entry) {
         const Peer &peer = entry.second.Gateway;
         return peer.LastSeenAt != base::Instant{} &&
-               now - peer.LastSeenAt < CountTime;
+               now - peer.LastSeenAt < SharedLimitTimeout;
       });
   const int known = static_cast<int>(n) + 1;
-  return now - StartedAt < MeetTime ? std::max(known, UnknownGateways) : known;
+  return now - StartedAt < DiscoveryTime ? std::max(known, AssumedGateways)
+                                         : known;
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -6,44 +6,44 @@
 namespace {
 
 /// Prefill time per prompt token, from the engines' data sheet (14 tokens/ms).
-constexpr double ReadMsPerToken = 1.0 / 14;
+constexpr double PrefillMsPerToken = 1.0 / 14;
 /// Cost per token that an engine is forecast to hold. KV cache is an engine's
 /// scarcest resource, and an engine with many generations cannot be drained in
 /// time. With this value, one more long generation weighs as much as waiting
 /// for the prefill of its prompt.
-constexpr double HoldMsPerToken = 0.06;
+constexpr double KvCacheMsPerToken = 0.06;
 /// Costs of a server's failure rate and of each incomplete response since its
 /// last complete one. Without them, an engine that breaks off every response
 /// would be preferred as the least loaded.
-constexpr double FailureMs = 2'000;
-constexpr double BrokenAnswerMs = 500;
+constexpr double FailureRateCostMs = 2'000;
+constexpr double IncompleteResponseCostMs = 500;
 /// Cost of an engine with incomplete responses for a request that should not be
 /// its next trial: a long generation, or a second one while the first has not
 /// completed.
-constexpr double UntriedMs = 10'000;
+constexpr double NonTrialCostMs = 10'000;
 /// Maximum expected output of a trial generation. According to the clients'
 /// data sheets, short generations produce about 16 tokens and long ones 750.
-constexpr std::uint32_t TrialTokens = 100;
+constexpr std::uint32_t MaxTrialTokens = 100;
 /// Fraction of its KV cache above which an engine starts to preempt.
-constexpr double MemoryLimit = 0.92;
+constexpr double MaxKvCacheFraction = 0.92;
 /// Cost of each token above that limit: a preempted generation repeats its
 /// prefill.
 constexpr double OverflowMsPerToken = 2;
 /// Cost of placing a request in another zone: traffic between zones is charged.
-constexpr double OtherZoneMs = 120;
+constexpr double OtherZoneCostMs = 120;
 /// Cost of copying to another zone, which takes twice as long.
-constexpr double OtherZoneCopyMs = 900;
+constexpr double OtherZoneCopyCostMs = 900;
 /// Cost of each copy in transit to an engine: copies queue on its link, for a
 /// quarter of a second each.
-constexpr double IncomingCopyMs = 1'500;
+constexpr double IncomingCopyCostMs = 1'500;
 /// Maximum of a fixed cost per pair of servers. Engines that start to leave at
 /// the same time do not know of each other's copies yet; this spreads them over
 /// destinations.
-constexpr double SpreadMs = 300;
+constexpr double MaxSpreadCostMs = 300;
 
 /// Costs of failures for plain servers, in open requests.
-constexpr double FailureRank = 2;
-constexpr double BrokenAnswerRank = 1;
+constexpr double FailureRateWeight = 2;
+constexpr double IncompleteResponseWeight = 1;
 
 bool wasTried(std::span<const std::string> tried, const std::string &id) {
   return std::find(tried.begin(), tried.end(), id) != tried.end();
@@ -52,7 +52,7 @@
 /// Returns true if a generation may test whether an engine with incomplete
 /// responses has recovered: a short one, and one at a time.
 bool isTrial(const Demand &demand, const EngineLoad &load) {
-  return demand.ExpectedTokens <= TrialTokens && load.Running == 0;
+  return demand.ExpectedTokens <= MaxTrialTokens && load.Running == 0;
 }
 
 /// Returns the cost of a generation on an engine: the delay that it would
@@ -60,34 +60,37 @@
 double engineCost(base::Instant now, const Server &server,
                   const EngineTraits &engine, const EngineLoad &load,
                   const Demand &demand) {
-  double cost = static_cast<double>(load.PendingPromptTokens) * ReadMsPerToken;
-  cost += static_cast<double>(load.ForecastTokens) * HoldMsPerToken;
+  double cost =
+      static_cast<double>(load.PendingPromptTokens) * PrefillMsPerToken;
+  cost += static_cast<double>(load.ForecastTokens) * KvCacheMsPerToken;
   cost += static_cast<double>(
       std::max(std::int64_t{0}, base::toMs(server.ColdUntil - now)));
-  cost += server.FailureRate * FailureMs;
+  cost += server.FailureRate * FailureRateCostMs;
   if (const int n = recentIncompleteResponses(server, now); n > 0)
-    cost += isTrial(demand, load) ? n * BrokenAnswerMs : UntriedMs;
-  const double limit = MemoryLimit * static_cast<double>(engine.KvCacheTokens);
-  const double filled = static_cast<double>(load.ForecastTokens) +
-                        demand.PromptTokens + demand.ExpectedTokens;
-  if (engine.KvCacheTokens > 0 && filled > limit)
-    cost += (filled - limit) * OverflowMsPerToken;
+    cost +=
+        isTrial(demand, load) ? n * IncompleteResponseCostMs : NonTrialCostMs;
+  const double limit =
+      MaxKvCacheFraction * static_cast<double>(engine.KvCacheTokens);
+  const double forecast = static_cast<double>(load.ForecastTokens) +
+                          demand.PromptTokens + demand.ExpectedTokens;
+  if (engine.KvCacheTokens > 0 && forecast > limit)
+    cost += (forecast - limit) * OverflowMsPerToken;
   return cost;
 }
 
 /// Returns a number from 0 to 1 that is fixed for a pair of servers.
-double rankOf(const Server &a, const Server &b) {
+double spreadFactor(const Server &a, const Server &b) {
   base::Random random(base::hash64(a.Listed.Id, base::hash64(b.Listed.Id)));
   return random.unit();
 }
 
 } // namespace
 
-template <typename WayCost>
+template <typename NetworkCost>
 Choice Placement::choose(base::Instant now, const Service &service,
                          const Demand &demand,
                          std::span<const std::string> tried,
-                         WayCost wayCost) const {
+                         NetworkCost networkCost) const {
   // A route may send part of its streams to a plain service.
   const EngineTraits engine = service.Engine.value_or(EngineTraits());
   const auto loads = Runs.loads();
@@ -98,8 +101,8 @@
     ++best.Candidates;
     const auto it = loads.find(server->Listed.Id);
     const EngineLoad load = it == loads.end() ? EngineLoad() : it->second;
-    const double cost =
-        engineCost(now, *server, engine, load, demand) + wayCost(*server, load);
+    const double cost = engineCost(now, *server, engine, load, demand) +
+                        networkCost(*server, load);
     if (best.Chosen && cost >= best.CostMs)
       continue;
     best.Chosen = server;
@@ -113,22 +116,22 @@
 Placement::chooseForGeneration(base::Instant now, const Service &service,
                                const Demand &demand,
                                std::span<const std::string> tried) const {
-  const auto wayCost = [this](const Server &server, const EngineLoad &) {
-    return server.Listed.Zone == Zone ? 0 : OtherZoneMs;
+  const auto networkCost = [this](const Server &server, const EngineLoad &) {
+    return server.Listed.Zone == Zone ? 0 : OtherZoneCostMs;
   };
-  return choose(now, service, demand, tried, wayCost);
+  return choose(now, service, demand, tried, networkCost);
 }
 
 Choice Placement::chooseForMigration(base::Instant now, const Service &service,
                                      const Demand &demand, const Server &source,
                                      std::span<const std::string> tried) const {
-  const auto wayCost = [&](const Server &server, const EngineLoad &load) {
-    const bool isNear = server.Listed.Zone == source.Listed.Zone;
-    return (isNear ? 0 : OtherZoneCopyMs) +
-           load.IncomingCopies * IncomingCopyMs +
-           SpreadMs * rankOf(source, server);
+  const auto networkCost = [&](const Server &server, const EngineLoad &load) {
+    const bool isSameZone = server.Listed.Zone == source.Listed.Zone;
+    return (isSameZone ? 0 : OtherZoneCopyCostMs) +
+           load.IncomingCopies * IncomingCopyCostMs +
+           MaxSpreadCostMs * spreadFactor(source, server);
   };
-  return choose(now, service, demand, tried, wayCost);
+  return choose(now, service, demand, tried, networkCost);
 }
 
 const Server *Placement::chooseForRequest(base::Instant now,
@@ -142,11 +145,11 @@
       continue;
     // Both terms stay below one open request: the zone counts first, then
     // chance.
-    const double tie = server->Listed.Zone == Zone ? 0 : 0.5;
+    const double zonePenalty = server->Listed.Zone == Zone ? 0 : 0.5;
     const double rank =
-        server->OpenRequests + tie + random.unit() * 0.4 +
-        server->FailureRate * FailureRank +
-        recentIncompleteResponses(*server, now) * BrokenAnswerRank;
+        server->OpenRequests + zonePenalty + random.unit() * 0.4 +
+        server->FailureRate * FailureRateWeight +
+        recentIncompleteResponses(*server, now) * IncompleteResponseWeight;
     if (best && rank >= bestRank)
       continue;
     best = server;
--- a/src/gateway/routes.cc
+++ b/src/gateway/routes.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// Returns a host in lower case without its port.
-std::string bareHost(std::string_view host) {
+std::string normaliseHost(std::string_view host) {
   host = host.substr(0, host.find(':'));
-  std::string bare(host);
-  for (char &c : bare)
+  std::string normalised(host);
+  for (char &c : normalised)
     c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-  return bare;
+  return normalised;
 }
 
 bool isLonger(const Route *a, const Route *b) {
@@ -30,7 +30,7 @@
 
 RouteTable::RouteTable(Config config) : Current(std::move(config)) {
   for (const Route &route : Current.Routes)
-    ByHost[bareHost(route.Host)].push_back(&route);
+    ByHost[normaliseHost(route.Host)].push_back(&route);
   for (auto &[host, routes] : ByHost)
     std::stable_sort(routes.begin(), routes.end(), isLonger);
   for (const Organisation &organisation : Current.Organisations)
@@ -40,7 +40,7 @@
 
 const Route *RouteTable::find(std::string_view host,
                               std::string_view path) const {
-  const auto it = ByHost.find(bareHost(host));
+  const auto it = ByHost.find(normaliseHost(host));
   if (it == ByHost.end())
     return nullptr;
   for (const Route *route : it->second)
@@ -58,10 +58,10 @@
   double total = 0;
   for (const WeightedService &s : route.Services)
     total += s.Weight;
-  double left = random.unit() * total;
+  double remaining = random.unit() * total;
   for (const WeightedService &s : route.Services) {
-    left -= s.Weight;
-    if (left < 0)
+    remaining -= s.Weight;
+    if (remaining < 0)
       return s.Service;
   }
   return route.Services.empty() ? std::string_view()
--- a/src/gateway/run-delta.cc
+++ b/src/gateway/run-delta.cc
@@ -5,7 +5,7 @@
 namespace drumlanding::gateway {
 namespace {
 
-bool isSamePlace(const TrackedRun &a, const TrackedRun &b) {
+bool isSamePlacement(const TrackedRun &a, const TrackedRun &b) {
   return std::tie(a.Server, a.CopyServer, a.HasFirstToken) ==
          std::tie(b.Server, b.CopyServer, b.HasFirstToken);
 }
@@ -13,19 +13,19 @@
 } // namespace
 
 RunDelta RunDeltaTracker::nextDelta(std::span<const TrackedRun> runs) {
-  RunDelta news;
-  std::unordered_map<RunId, TrackedRun> told;
+  RunDelta delta;
+  std::unordered_map<RunId, TrackedRun> sent;
   for (const TrackedRun &run : runs) {
     const auto it = LastSent.find(run.Id);
-    if (it == LastSent.end() || !isSamePlace(it->second, run))
-      news.Changed.push_back(run);
-    told.emplace(run.Id, run);
+    if (it == LastSent.end() || !isSamePlacement(it->second, run))
+      delta.Changed.push_back(run);
+    sent.emplace(run.Id, run);
   }
   for (const auto &[id, run] : LastSent)
-    if (!told.contains(id))
-      news.Ended.push_back(id);
-  LastSent = std::move(told);
-  return news;
+    if (!sent.contains(id))
+      delta.Ended.push_back(id);
+  LastSent = std::move(sent);
+  return delta;
 }
 
 } // namespace drumlanding::gateway
--- a/src/gateway/run-table.cc
+++ b/src/gateway/run-table.cc
@@ -7,28 +7,28 @@
 
 /// Time without messages after which a gateway's runs are ignored: three of its
 /// full reports.
-constexpr base::milliseconds PeerSilence{1'800};
+constexpr base::milliseconds PeerTimeout{1'800};
 /// Tokens generated within placement's forecast horizon: four seconds at 8 ms
 /// per token.
-constexpr std::uint32_t HorizonTokens = 500;
+constexpr std::uint32_t ForecastHorizonTokens = 500;
 /// A generation that has exceeded its estimate is forecast to produce this
 /// fraction of its output again: estimates are right at the median, but widely
 /// spread.
-constexpr double OutrunPart = 0.5;
+constexpr double OverrunRatio = 0.5;
 
-void addMemory(EngineLoad &load, const TrackedRun &run) {
+void addKvCache(EngineLoad &load, const TrackedRun &run) {
   const std::uint32_t used = run.PromptTokens + run.GeneratedTokens;
   load.UsedTokens += used;
   load.ForecastTokens += used + expectedRemainingTokens(run);
 }
 
 void addCopy(EngineLoad &load, const TrackedRun &run) {
-  addMemory(load, run);
+  addKvCache(load, run);
   ++load.IncomingCopies;
 }
 
 void addRun(EngineLoad &load, const TrackedRun &run) {
-  addMemory(load, run);
+  addKvCache(load, run);
   ++load.Running;
   if (!run.HasFirstToken)
     load.PendingPromptTokens += run.PromptTokens;
@@ -37,15 +37,15 @@
 } // namespace
 
 std::uint32_t expectedRemainingTokens(const TrackedRun &run) {
-  const auto outrun =
-      static_cast<std::uint32_t>(run.GeneratedTokens * OutrunPart);
-  const std::uint32_t left = run.ExpectedTokens > run.GeneratedTokens
-                                 ? run.ExpectedTokens - run.GeneratedTokens
-                                 : outrun;
-  const std::uint32_t most = run.MaxTokens > run.GeneratedTokens
-                                 ? run.MaxTokens - run.GeneratedTokens
-                                 : 0;
-  return std::min({left, most, HorizonTokens});
+  const auto overrun =
+      static_cast<std::uint32_t>(run.GeneratedTokens * OverrunRatio);
+  const std::uint32_t remaining = run.ExpectedTokens > run.GeneratedTokens
+                                      ? run.ExpectedTokens - run.GeneratedTokens
+                                      : overrun;
+  const std::uint32_t maxRemaining = run.MaxTokens > run.GeneratedTokens
+                                         ? run.MaxTokens - run.GeneratedTokens
+                                         : 0;
+  return std::min({remaining, maxRemaining, ForecastHorizonTokens});
 }
 
 void RunTable::upsert(const TrackedRun &run) {
@@ -53,11 +53,11 @@
   notifyChange();
 }
 
-void RunTable::updateProgress(RunId id, std::uint32_t madeTokens) {
+void RunTable::updateProgress(RunId id, std::uint32_t generatedTokens) {
   const auto it = OwnRuns.find(id);
   if (it == OwnRuns.end())
     return;
-  it->second.GeneratedTokens = madeTokens;
+  it->second.GeneratedTokens = generatedTokens;
   it->second.HasFirstToken = true;
 }
 
@@ -78,9 +78,9 @@
   Peer &known = Peers[peer];
   known.LastSeenAt = now;
   std::erase_if(known.Runs, [&](const TrackedRun &run) {
-    const auto isThis = [&](const TrackedRun &r) { return r.Id == run.Id; };
+    const auto isSameRun = [&](const TrackedRun &r) { return r.Id == run.Id; };
     return std::find(ended.begin(), ended.end(), run.Id) != ended.end() ||
-           std::any_of(changed.begin(), changed.end(), isThis);
+           std::any_of(changed.begin(), changed.end(), isSameRun);
   });
   known.Runs.insert(known.Runs.end(), changed.begin(), changed.end());
   notifyChange();
@@ -88,7 +88,7 @@
 
 void RunTable::tick(base::Instant now) {
   std::erase_if(Peers, [&](const auto &entry) {
-    return now - entry.second.LastSeenAt > PeerSilence;
+    return now - entry.second.LastSeenAt > PeerTimeout;
   });
 }
 
