--- a/test/gateway-random-test.cc
+++ b/test/gateway-random-test.cc
@@ -1,11 +1,11 @@
-// Randomised runs of the gateways' decisions: several gateways' directories,
-// ledgers, placements, budgets and peers on one virtual clock, with a network
-// that loses what they tell each other, a store that goes away, servers that
-// come, leave, vanish, crash and give their address to others, and gateways
-// that start anew. The shortest run that breaks an invariant is printed.
+// Randomised tests of the gateways' decision logic. Several gateways'
+// directories, run tables, placements, retry budgets and peers share one
+// simulated clock. The network loses messages, the store becomes unavailable,
+// servers start, leave, disappear, crash and hand their address to others, and
+// gateways restart. On a broken invariant, the shortest failing run is printed.
 //
-// DRUMLANDING_RANDOM_RUNS sets how many (1,000 in CI); RC_PARAMS overrides the
-// seed, which is printed.
+// DRUMLANDING_RANDOM_RUNS sets the number of runs (1,000 in CI); RC_PARAMS
+// overrides the seed, which is printed.
 #include "gossip-messages.h"
 
 #include "drumlanding/gateway/attempt-policy.h"
@@ -37,16 +37,17 @@
 constexpr int GatewayCount = 3;
 constexpr int AddressCount = 6;
 constexpr milliseconds Tick{50};
-constexpr milliseconds WholeEvery{500};
-constexpr milliseconds ListEvery{400};
-/// A call that gets no answer, and the pause before the next.
-constexpr milliseconds LostCallTime{1'100};
-/// The stated bounds: after so long without trouble a gateway is in touch, and
-/// no request of one in touch goes to a server that left so long ago.
-constexpr milliseconds InTouchAfter{3'000};
+constexpr milliseconds FullStateInterval{500};
+constexpr milliseconds ListReadInterval{400};
+/// Duration of a call that gets no answer, and of the pause before the next.
+constexpr milliseconds CallTimeout{1'100};
+/// The specified bounds: a gateway counts as connected after this long without
+/// faults, and then sends no request to a server that left at least DrainBound
+/// ago.
+constexpr milliseconds ConnectedAfter{3'000};
 constexpr milliseconds DrainBound{2'000};
-/// After so long without trouble all gateways know the same.
-constexpr milliseconds Settled{8'000};
+/// Time without faults after which all gateways agree.
+constexpr milliseconds SettleTime{8'000};
 constexpr RetryBudgetOptions Budget{0.2, 12, milliseconds(10'000)};
 constexpr int MaxSends = 2;
 
@@ -55,16 +56,16 @@
   BeginRun,
   EndRun,
   StartServer,
-  StartAgain,
+  RestartServer,
   LeaveServer,
-  VanishServer,
+  RemoveEntry,
   CrashServer,
   StoreDown,
   StoreUp,
   LossBegins,
   LossEnds,
-  CutOff,
-  CutEnds,
+  StorePathDown,
+  StorePathUp,
   Isolate,
   IsolationEnds,
   RestartGateway,
@@ -80,17 +81,17 @@
 
 std::ostream &operator<<(std::ostream &out, const Action &a) {
   constexpr const char *Names[] = {
-      "request",        "begin run",    "end run",     "start server",
-      "start again",    "leave server", "vanish",      "crash",
-      "store down",     "store up",     "loss begins", "loss ends",
-      "cut off",        "cut ends",     "isolate",     "isolation ends",
+      "request",         "begin run",     "end run",      "start server",
+      "restart server",  "leave server",  "remove entry", "crash",
+      "store down",      "store up",      "loss begins",  "loss ends",
+      "store path down", "store path up", "isolate",      "isolation ends",
       "restart gateway"};
   return out << Names[static_cast<int>(a.Kind)] << " gateway=" << a.Gateway
              << " address=" << a.Address << " outcome=" << a.Outcome << " then "
              << a.WaitMs << " ms";
 }
 
-/// One gateway's decisions.
+/// The decision logic of one gateway.
 struct Core {
   Core(base::Instant now, int n, std::uint64_t incarnation)
       : Address("10.0.0." + std::to_string(n + 1) + ":9"),
@@ -112,28 +113,28 @@
   Placement Placing;
   RetryBudget Retries;
   base::Instant StartedAt;
-  RunDeltaTracker Told;
+  RunDeltaTracker Deltas;
   bool hasStoreContact(base::Instant now) const {
     return WatchesList && now - ListReadAt < MaxListAge;
   }
 
-  base::Instant ListFrom{};
+  base::Instant ListUpdatedAt{};
   base::Instant ListReadAt{};
   std::uint64_t ListRevision = 0;
   bool WatchesList = true;
-  /// Its own path to the store is cut.
-  bool IsCutOff = false;
-  /// Neither the store nor the other gateways reach it.
+  /// Its own path to the store is interrupted.
+  bool IsStorePathDown = false;
+  /// Neither the store nor the other gateways are reachable.
   bool IsIsolated = false;
   base::Instant IsolatedAt{};
-  /// A call to the store that gets no answer is under way until then.
+  /// End of a call to the store that gets no answer.
   base::Instant NextCall{};
   base::Instant ListReadFailedAt{};
-  std::vector<ServerChange> ListNews;
+  std::vector<ServerChange> ListChanges;
 };
 
-/// The outcome that a directory is told of for each end of an attempt but the
-/// one by another server.
+/// Returns the server outcome recorded for an attempt. WrongServer is not
+/// recorded this way.
 ServerOutcome outcomeOf(AttemptOutcome end) {
   switch (end) {
   case AttemptOutcome::Served:
@@ -151,7 +152,7 @@
   return ServerOutcome::Refused;
 }
 
-/// What is really there.
+/// Actual state of the server at an address.
 struct RealServer {
   std::string Id;
   bool IsUp = false;
@@ -173,11 +174,11 @@
       Cores.push_back(std::make_unique<Core>(Now, i, ++LastIncarnation));
     for (int i = 0; i < AddressCount; ++i)
       startServer(i);
-    wait(Settled);
+    wait(SettleTime);
   }
 
   void perform(const Action &a) {
-    RealServer &server = Real[a.Address];
+    RealServer &server = Actual[a.Address];
     switch (a.Kind) {
     case ActionKind::Request:
       request(a.Gateway, a.Outcome);
@@ -192,16 +193,16 @@
       if (!server.IsUp)
         startServer(a.Address);
       break;
-    case ActionKind::StartAgain:
-      // It crashes, and starts under its id.
+    case ActionKind::RestartServer:
+      // The server crashes and restarts under the same id.
       startServer(a.Address, server.Id);
       break;
     case ActionKind::LeaveServer:
       server.IsLeaving = server.IsUp;
       markLeft(server);
       break;
-    case ActionKind::VanishServer:
-      // Some never say that they leave: their entry goes.
+    case ActionKind::RemoveEntry:
+      // Some servers leave without notice: only their entry disappears.
       server.IsListed = false;
       server.IsLeaving = true;
       markLeft(server);
@@ -224,11 +225,11 @@
     case ActionKind::LossEnds:
       LosesMessages = false;
       break;
-    case ActionKind::CutOff:
-      Cores[static_cast<std::size_t>(a.Gateway)]->IsCutOff = true;
+    case ActionKind::StorePathDown:
+      Cores[static_cast<std::size_t>(a.Gateway)]->IsStorePathDown = true;
       break;
-    case ActionKind::CutEnds:
-      Cores[static_cast<std::size_t>(a.Gateway)]->IsCutOff = false;
+    case ActionKind::StorePathUp:
+      Cores[static_cast<std::size_t>(a.Gateway)]->IsStorePathDown = false;
       break;
     case ActionKind::Isolate:
       Cores[static_cast<std::size_t>(a.Gateway)]->IsIsolated = true;
@@ -243,24 +244,24 @@
     wait(milliseconds(a.WaitMs));
   }
 
-  /// Ends all trouble and checks that all know the truth.
+  /// Ends all faults and checks that every gateway knows the actual state.
   void settle() {
     IsStoreUp = true;
     LosesMessages = false;
     for (const auto &core : Cores)
-      core->IsCutOff = core->IsIsolated = false;
-    wait(Settled);
+      core->IsStorePathDown = core->IsIsolated = false;
+    wait(SettleTime);
     for (const auto &core : Cores) {
       checkServers(*core);
       checkRuns(*core);
     }
   }
 
-  std::string Wrong;
+  std::string Violations;
 
 private:
   void startServer(int address, std::string id = "") {
-    RealServer &server = Real[address];
+    RealServer &server = Actual[address];
     server = {};
     ++LastServer;
     server.Id = id.empty() ? "s" + std::to_string(LastServer) : std::move(id);
@@ -272,17 +273,18 @@
 
   void markLeft(RealServer &server) {
     server.Revision = ++StoreRevision;
-    // The bound holds for what a stable store has taken.
-    const bool isStable = Now - StoreDownAt >= InTouchAfter;
+    // The bound applies only to changes that a stable store has accepted.
+    const bool isStable = Now - StoreDownAt >= ConnectedAfter;
     if (server.LeftAt == base::Instant{} && isStable)
       server.LeftAt = Now;
   }
 
-  /// While a gateway is in touch: itself, and the store through anybody.
-  void noteTrouble() {
+  /// Records faults. A gateway counts as connected while it is not isolated, no
+  /// messages are lost, and the store is reachable from at least one gateway.
+  void recordFaults() {
     const bool isAnyoneConnected =
         std::any_of(Cores.begin(), Cores.end(), [](const auto &core) {
-          return !core->IsCutOff && !core->IsIsolated;
+          return !core->IsStorePathDown && !core->IsIsolated;
         });
     if (!IsStoreUp)
       StoreDownAt = Now;
@@ -290,21 +292,21 @@
       if (core->IsIsolated)
         core->IsolatedAt = Now;
     if (!IsStoreUp || LosesMessages || !isAnyoneConnected)
-      TroubleAt = Now;
+      FaultAt = Now;
   }
 
   void checkLeft(const Core &core, const Server &server) {
-    const RealServer &there = Real[addressOf(server)];
-    const bool isInTouch =
-        Now - std::max({TroubleAt, core.StartedAt, core.IsolatedAt}) >=
-        InTouchAfter;
-    if (isInTouch && there.Id == server.Listed.Id &&
+    const RealServer &there = Actual[addressOf(server)];
+    const bool isConnected =
+        Now - std::max({FaultAt, core.StartedAt, core.IsolatedAt}) >=
+        ConnectedAfter;
+    if (isConnected && there.Id == server.Listed.Id &&
         there.LeftAt != base::Instant{} && Now - there.LeftAt > DrainBound)
-      Wrong += core.Address + " sends to " + there.Id + ", which left; ";
+      Violations += core.Address + " sends to " + there.Id + ", which left; ";
   }
 
   ListedServer listed(int address) const {
-    const RealServer &server = Real[address];
+    const RealServer &server = Actual[address];
     ListedServer l;
     l.Id = server.Id;
     l.Service = "llm";
@@ -319,7 +321,7 @@
   ServerList storeList() const {
     ServerList list{StoreRevision, {}, {}};
     for (int i = 0; i < AddressCount; ++i)
-      if (Real[i].IsListed)
+      if (Actual[i].IsListed)
         list.Servers.push_back(listed(i));
     return list;
   }
@@ -329,18 +331,19 @@
     return std::stoi(text.substr(text.rfind('.') + 1)) - 1;
   }
 
-  /// Lets one request of a kind that may not be repeated find its server.
+  /// Sends one request through attempts at several servers until a decision
+  /// ends it.
   void request(int gateway, int outcome) {
     Core &core = *Cores[static_cast<std::size_t>(gateway)];
-    const bool mayRepeat = outcome % 2 == 0;
+    const bool isIdempotent = outcome % 2 == 0;
     std::vector<std::string> tried;
     AttemptState state;
     state.Kind =
-        mayRepeat ? RequestKind::Idempotent : RequestKind::NonIdempotent;
+        isIdempotent ? RequestKind::Idempotent : RequestKind::NonIdempotent;
     state.MaxSends = MaxSends;
     int runs = 0;
     core.Retries.recordFirstSend(Now, "llm");
-    Firsts.push_back(Now);
+    FirstSends.push_back(Now);
     for (int i = 0;; ++i) {
       const Choice choice =
           core.Placing.chooseForGeneration(Now, Llm, {100, 10}, tried);
@@ -348,14 +351,14 @@
         return;
       const Server server = *choice.Chosen;
       if (server.IsLeaving || server.IsReplaced)
-        Wrong += "a leaving server was chosen; ";
+        Violations += "a leaving server was chosen; ";
       checkLeft(core, server);
       tried.push_back(server.Listed.Id);
-      state.Outcome = meet(server, outcome + i, runs);
+      state.Outcome = attemptAt(server, outcome + i, runs);
       const bool arrived = state.Outcome != AttemptOutcome::Unreachable;
       state.Arrivals += arrived ? 1 : 0;
       if (arrived && state.Arrivals > 1)
-        Repeats.push_back(Now);
+        RetryTimes.push_back(Now);
       state.Sends +=
           arrived && state.Outcome != AttemptOutcome::WrongServer ? 1 : 0;
       noteEnd(core, server.Listed.Id, state.Outcome);
@@ -366,14 +369,14 @@
                           state.Outcome == AttemptOutcome::Failed;
       if (step == Step::TryAnother)
         continue;
-      checkRequest(step, runs, mayRepeat, state.Sends);
+      checkRequest(step, runs, isIdempotent, state.Sends);
       return;
     }
   }
 
-  /// What becomes of a request at a server; counts a run.
-  AttemptOutcome meet(const Server &server, int outcome, int &runs) {
-    const RealServer &there = Real[addressOf(server)];
+  /// Returns the outcome of a request at a server; counts a run.
+  AttemptOutcome attemptAt(const Server &server, int outcome, int &runs) {
+    const RealServer &there = Actual[addressOf(server)];
     if (!there.IsUp)
       return AttemptOutcome::Unreachable;
     if (there.Id != server.Listed.Id)
@@ -401,13 +404,13 @@
       core.Servers.recordOutcome(Now, server, outcomeOf(end));
   }
 
-  void checkRequest(Step step, int runs, bool mayRepeat, int sends) {
+  void checkRequest(Step step, int runs, bool isIdempotent, int sends) {
     if (step == Step::RefuseNotRun && runs > 0)
-      Wrong += "\"not run\" is untrue; ";
-    if (!mayRepeat && runs > 1)
-      Wrong += "a request that may not be repeated ran twice; ";
+      Violations += "\"not run\" was returned for a request that ran; ";
+    if (!isIdempotent && runs > 1)
+      Violations += "a non-idempotent request ran twice; ";
     if (sends > MaxSends)
-      Wrong += "sent to too many servers; ";
+      Violations += "sent to too many servers; ";
   }
 
   void beginRun(int gateway) {
@@ -431,7 +434,7 @@
   }
 
   void restart(int gateway) {
-    // One in a window, as the allowance is worked out for.
+    // At most one restart per window, which the retry budget allows for.
     if (Now - LastRestart < Budget.Window)
       return;
     LastRestart = Now;
@@ -445,7 +448,7 @@
       ++Ticks;
       for (const auto &core : Cores)
         tick(*core);
-      noteTrouble();
+      recordFaults();
       checkBudget();
     }
   }
@@ -454,43 +457,44 @@
     core.Runs.tick(Now);
     core.Servers.tick(Now);
     core.WatchesList = core.Others.shouldWatchList(Now);
-    if (Ticks % (ListEvery / Tick) == 0)
-      followStore(core);
-    takeBetterList(core);
-    tell(core);
+    if (Ticks % (ListReadInterval / Tick) == 0)
+      pollStore(core);
+    fetchNewerList(core);
+    broadcast(core);
   }
 
-  void followStore(Core &core) {
+  void pollStore(Core &core) {
     if (Now < core.NextCall)
       return;
-    if (!IsStoreUp || core.IsCutOff || core.IsIsolated) {
+    if (!IsStoreUp || core.IsStorePathDown || core.IsIsolated) {
       core.ListReadFailedAt = Now;
-      core.NextCall = Now + LostCallTime;
+      core.NextCall = Now + CallTimeout;
       return;
     }
     if (!core.WatchesList && !core.Servers.isEmpty())
       return;
-    noteNews(core, storeList());
+    collectListChanges(core, storeList());
     core.ListRevision = StoreRevision;
     const bool hasFailed = core.ListReadFailedAt > core.ListReadAt;
     core.Servers.recordStoreContact(Now,
                                     hasFailed ? core.ListReadFailedAt : Now);
-    core.ListFrom = Now;
+    core.ListUpdatedAt = Now;
     core.ListReadAt = Now;
     core.Servers.applySnapshot(Now, storeList());
   }
 
-  /// What a watch would tell the others.
-  static void noteNews(Core &core, const ServerList &list) {
+  /// Collects the changes that a watch of the store would pass on to the
+  /// others.
+  static void collectListChanges(Core &core, const ServerList &list) {
     std::set<std::string> ids;
     for (const ListedServer &listed : list.Servers) {
       ids.insert(listed.Id);
       if (!core.Servers.isListedAs(listed))
-        core.ListNews.push_back({listed.Id, listed, "", listed.Revision});
+        core.ListChanges.push_back({listed.Id, listed, "", listed.Revision});
     }
     for (const ListedServer &known : core.Servers.list().Servers)
       if (!ids.contains(known.Id))
-        core.ListNews.push_back({known.Id, std::nullopt, "", list.Revision});
+        core.ListChanges.push_back({known.Id, std::nullopt, "", list.Revision});
   }
 
   Core *coreAt(const base::Endpoint &address) {
@@ -500,8 +504,8 @@
     return nullptr;
   }
 
-  void takeBetterList(Core &core) {
-    const auto peer = core.Others.withNewerList(Now, core.ListFrom);
+  void fetchNewerList(Core &core) {
+    const auto peer = core.Others.withNewerList(Now, core.ListUpdatedAt);
     if (!peer || LosesMessages || core.IsIsolated ||
         coreAt(peer->Address)->IsIsolated)
       return;
@@ -510,10 +514,10 @@
     list.Revision = from->ListRevision;
     core.Servers.applySnapshot(Now, list, Evidence::Gateway);
     core.ListRevision = std::max(core.ListRevision, list.Revision);
-    core.ListFrom = std::max(core.ListFrom, from->ListFrom);
+    core.ListUpdatedAt = std::max(core.ListUpdatedAt, from->ListUpdatedAt);
   }
 
-  wire::Gossip messageOf(Core &core) {
+  wire::Gossip buildMessage(Core &core) {
     wire::Gossip message;
     message.set_name(core.Address);
     message.set_address(core.Address);
@@ -524,33 +528,33 @@
         base::toMs(Now - core.Servers.storeStableSince())));
     message.set_watches_list(hasContact);
     message.set_list_age_ms(static_cast<std::uint64_t>(
-        base::toMs(Now - (hasContact ? core.ListReadAt : core.ListFrom))));
-    for (const ServerInstance &life : core.Servers.leaving(Now)) {
+        base::toMs(Now - (hasContact ? core.ListReadAt : core.ListUpdatedAt))));
+    for (const ServerInstance &instance : core.Servers.leaving(Now)) {
       wire::ServerLife &out = *message.add_leaving_servers();
-      out.set_id(life.Id);
-      out.set_born_ms(static_cast<std::uint64_t>(life.StartedAt.count()));
+      out.set_id(instance.Id);
+      out.set_born_ms(static_cast<std::uint64_t>(instance.StartedAt.count()));
     }
     const std::vector<TrackedRun> runs = core.Runs.ownRuns();
-    const RunDelta news = core.Told.nextDelta(runs);
-    const bool isWhole = Ticks % (WholeEvery / Tick) == 0;
-    message.set_is_news(!isWhole);
-    for (const TrackedRun &run : isWhole ? runs : news.Changed)
+    const RunDelta delta = core.Deltas.nextDelta(runs);
+    const bool isFullState = Ticks % (FullStateInterval / Tick) == 0;
+    message.set_is_news(!isFullState);
+    for (const TrackedRun &run : isFullState ? runs : delta.Changed)
       *message.add_runs() = toWire(run);
-    for (const RunId id : news.Ended)
+    for (const RunId id : delta.Ended)
       message.add_ended_runs(id);
-    for (const ServerChange &change : core.ListNews) {
+    for (const ServerChange &change : core.ListChanges) {
       if (change.Listed)
         *message.add_changed_servers() = toWire(*change.Listed);
       else
         *message.add_gone_servers() =
             toWire(RemovedServer{change.Id, change.Revision});
     }
-    core.ListNews.clear();
+    core.ListChanges.clear();
     return message;
   }
 
-  void tell(Core &core) {
-    const wire::Gossip message = messageOf(core);
+  void broadcast(Core &core) {
+    const wire::Gossip message = buildMessage(core);
     if (message.is_news() && message.runs().empty() &&
         message.ended_runs().empty() && message.changed_servers().empty() &&
         message.gone_servers().empty())
@@ -559,7 +563,7 @@
       Core *other = coreAt(to);
       if (!other || other->IsIsolated || core.IsIsolated)
         continue;
-      if (!(LosesMessages && ++Told % 2 == 0))
+      if (!(LosesMessages && ++SentMessages % 2 == 0))
         receive(*other, message);
     }
   }
@@ -577,53 +581,56 @@
           {message.ended_runs().begin(), message.ended_runs().end()});
     else
       core.Runs.applyPeerSnapshot(Now, message.address(), std::move(runs));
-    for (const wire::ServerLife &life : message.leaving_servers())
-      core.Servers.markLeaving(Now, {life.id(), milliseconds(life.born_ms())});
+    for (const wire::ServerLife &instance : message.leaving_servers())
+      core.Servers.markLeaving(
+          Now, {instance.id(), milliseconds(instance.born_ms())});
     if (message.watches_list())
       core.Servers.recordStoreContact(Now - milliseconds(message.list_age_ms()),
                                       Now - milliseconds(message.steady_ms()));
     for (const ListedServer &listed : fromWire(message.changed_servers()))
       core.Servers.put(Now, listed, Evidence::Gateway);
-    for (const wire::GoneServer &gone : message.gone_servers())
-      core.Servers.remove(Now, fromWire(gone), Evidence::Gateway);
+    for (const wire::GoneServer &removed : message.gone_servers())
+      core.Servers.remove(Now, fromWire(removed), Evidence::Gateway);
     if (message.watches_list() && !core.hasStoreContact(Now) &&
         message.list_digest() == core.Servers.digest())
-      core.ListFrom =
-          std::max(core.ListFrom, Now - milliseconds(message.list_age_ms()));
+      core.ListUpdatedAt = std::max(core.ListUpdatedAt,
+                                    Now - milliseconds(message.list_age_ms()));
   }
 
-  /// Over all gateways, within each window.
+  /// Checks the retry budget over all gateways in every window.
   void checkBudget() {
     const auto dropOld = [&](std::vector<base::Instant> &times) {
       std::erase_if(times,
                     [&](base::Instant t) { return t < Now - Budget.Window; });
     };
-    dropOld(Firsts);
-    dropOld(Repeats);
+    dropOld(FirstSends);
+    dropOld(RetryTimes);
     const double allowed =
-        Budget.RetryRatio * static_cast<double>(Firsts.size()) +
+        Budget.RetryRatio * static_cast<double>(FirstSends.size()) +
         Budget.ExtraRetries;
-    if (static_cast<double>(Repeats.size()) > allowed)
-      Wrong += "more repeats than the budget; ";
+    if (static_cast<double>(RetryTimes.size()) > allowed)
+      Violations += "more retries than the budget allows; ";
   }
 
   void checkServers(const Core &core) {
     std::set<std::string> usable;
     for (const Server *server : core.Servers.usable(Now, "llm"))
       usable.insert(server->Listed.Id);
-    for (const RealServer &server : Real) {
-      const bool isThere = server.IsUp && server.IsListed && !server.IsLeaving;
-      // One that fails is avoided for up to eight seconds.
+    for (const RealServer &server : Actual) {
+      const bool isAvailable =
+          server.IsUp && server.IsListed && !server.IsLeaving;
+      // A failing server may be ejected for up to eight seconds.
       const Server *known = core.Servers.find(server.Id);
-      const bool isAvoided = known && Now < known->EjectedUntil;
-      if (isThere && !isAvoided && !usable.contains(server.Id))
-        Wrong += core.Address + " does not use " + server.Id + "; ";
+      const bool isEjected = known && Now < known->EjectedUntil;
+      if (isAvailable && !isEjected && !usable.contains(server.Id))
+        Violations += core.Address + " does not use " + server.Id + "; ";
       usable.erase(server.Id);
-      if (!isThere && !server.IsUp && known && !known->IsLeaving)
-        Wrong += core.Address + " still uses " + server.Id + "; ";
+      if (!isAvailable && !server.IsUp && known && !known->IsLeaving)
+        Violations += core.Address + " still uses " + server.Id + "; ";
     }
     if (!usable.empty())
-      Wrong += core.Address + " uses " + *usable.begin() + ", which is gone; ";
+      Violations +=
+          core.Address + " uses " + *usable.begin() + ", which is gone; ";
   }
 
   void checkRuns(const Core &core) {
@@ -633,26 +640,26 @@
         ++running[run.Server];
     for (const auto &[server, n] : running)
       if (core.Runs.loads()[server].Running != n)
-        Wrong += core.Address + " counts other runs on " + server + "; ";
+        Violations += core.Address + " counts other runs on " + server + "; ";
   }
 
   base::Instant Now{std::chrono::hours(1)};
   std::uint64_t StoreRevision = 0;
   base::Instant LastRestart{};
-  base::Instant TroubleAt{};
+  base::Instant FaultAt{};
   base::Instant StoreDownAt{};
   std::int64_t Ticks = 0;
   std::uint64_t LastIncarnation = 0;
   int LastServer = 0;
   RunId LastRun = 0;
-  std::uint64_t Told = 0;
+  std::uint64_t SentMessages = 0;
   bool IsStoreUp = true;
   bool LosesMessages = false;
   Service Llm;
   std::vector<std::unique_ptr<Core>> Cores;
-  std::array<RealServer, AddressCount> Real;
-  std::vector<base::Instant> Firsts;
-  std::vector<base::Instant> Repeats;
+  std::array<RealServer, AddressCount> Actual;
+  std::vector<base::Instant> FirstSends;
+  std::vector<base::Instant> RetryTimes;
 };
 
 rc::Gen<Action> anyAction() {
@@ -662,15 +669,15 @@
                                             {2, ActionKind::EndRun},
                                             {3, ActionKind::StartServer},
                                             {2, ActionKind::LeaveServer},
-                                            {1, ActionKind::StartAgain},
-                                            {1, ActionKind::VanishServer},
+                                            {1, ActionKind::RestartServer},
+                                            {1, ActionKind::RemoveEntry},
                                             {2, ActionKind::CrashServer},
                                             {1, ActionKind::StoreDown},
                                             {1, ActionKind::StoreUp},
                                             {1, ActionKind::LossBegins},
                                             {1, ActionKind::LossEnds},
-                                            {1, ActionKind::CutOff},
-                                            {1, ActionKind::CutEnds},
+                                            {1, ActionKind::StorePathDown},
+                                            {1, ActionKind::StorePathUp},
                                             {1, ActionKind::Isolate},
                                             {1, ActionKind::IsolationEnds},
                                             {1, ActionKind::RestartGateway}});
@@ -682,22 +689,22 @@
       rc::gen::set(&Action::WaitMs, rc::gen::inRange(0, 800)));
 }
 
-TEST(GatewayRandom, DecisionsHoldUnderAnyMixOfTrouble) {
+TEST(GatewayRandom, InvariantsHoldUnderRandomFaults) {
   const char *runs = std::getenv("DRUMLANDING_RANDOM_RUNS");
   const std::string params = "seed=" + std::string(Seed) +
                              " max_success=" + (runs ? runs : DefaultRuns);
   ::setenv("RC_PARAMS", params.c_str(), 0);
   std::printf("RC_PARAMS=%s\n", std::getenv("RC_PARAMS"));
-  const bool isRight = rc::check([] {
+  const bool isCorrect = rc::check([] {
     const auto actions = *rc::gen::container<std::vector<Action>>(anyAction());
     Model model;
     for (const Action &action : actions)
       model.perform(action);
     model.settle();
-    if (!model.Wrong.empty())
-      RC_FAIL(model.Wrong);
+    if (!model.Violations.empty())
+      RC_FAIL(model.Violations);
   });
-  EXPECT_TRUE(isRight);
+  EXPECT_TRUE(isCorrect);
 }
 
 } // namespace
--- a/test/gateway-test.cc
+++ b/test/gateway-test.cc
@@ -1,4 +1,5 @@
-// Tests of the gateway's decisions, without I/O and with times of their own.
+// Unit tests of the gateway's decision logic, without I/O and with simulated
+// time.
 #include "drumlanding/gateway/attempt-policy.h"
 #include "drumlanding/gateway/directory.h"
 #include "drumlanding/gateway/event-log.h"
@@ -45,13 +46,13 @@
 }
 
 TrackedRun run(RunId id, std::string on, std::uint32_t prompt,
-               std::uint32_t most = 2000) {
+               std::uint32_t maxTokens = 2000) {
   TrackedRun r;
   r.Id = id;
   r.Server = std::move(on);
   r.PromptTokens = prompt;
-  r.ExpectedTokens = most / 2;
-  r.MaxTokens = most;
+  r.ExpectedTokens = maxTokens / 2;
+  r.MaxTokens = maxTokens;
   return r;
 }
 
@@ -71,7 +72,7 @@
   EXPECT_EQ(table.find("a.example", "/x"), nullptr);
 }
 
-TEST(Routes, KeysLeadToTheirHolder) {
+TEST(Routes, KeysIdentifyTheOrganisation) {
   Config config;
   config.Organisations = {{"school", {"k1", "k2"}, 1}, {"library", {"k3"}, 0}};
   const RouteTable table(config);
@@ -82,7 +83,7 @@
   EXPECT_EQ(table.organisationOf("k"), nullptr);
 }
 
-TEST(Routes, ServicesShareByWeight) {
+TEST(Routes, ServicesAreChosenByWeight) {
   Route r = route("a", "/", "one");
   r.Services = {{"one", 90}, {"two", 10}};
   base::Random random(7);
@@ -97,14 +98,14 @@
 
 // Directory.
 
-/// The store is heard all the time until then.
+/// Simulates continuous contact with the store for 12 s up to `until`.
 void keepStoreContactUntil(Directory &d, base::Instant until) {
   constexpr seconds While{12};
   for (base::Instant t = until - While; t <= until; t += milliseconds(500))
     d.recordStoreContact(t, until - While);
 }
 
-TEST(Directory, LapsedEntriesHaveTimeToComeBackAfterAnOutage) {
+TEST(Directory, ExpiredEntriesHaveAGracePeriodAfterAnOutage) {
   Directory d;
   d.recordStoreContact(Start, Start);
   d.put(Start, server("s1"));
@@ -126,38 +127,37 @@
   EXPECT_EQ(left[0]->Listed.Id, "s1");
 }
 
-TEST(Directory, AnEntryRemovedInCalmTimesIsLeavingAtOnce) {
+TEST(Directory, AnEntryRemovedWithoutAnOutageIsLeavingAtOnce) {
   Directory d;
-  int told = 0;
-  d.OnLeaving = [&](const Server &) { ++told; };
+  int leavingCalls = 0;
+  d.OnLeaving = [&](const Server &) { ++leavingCalls; };
   d.put(Start, server("s1"));
   keepStoreContactUntil(d, Start + seconds(9));
   d.remove(Start + seconds(9), {"s1"});
   EXPECT_TRUE(d.usable(Start + seconds(9), "llm").empty());
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(leavingCalls, 1);
   d.markLeaving(Start + seconds(10), {"s1"});
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(leavingCalls, 1);
 }
 
-/// Guards against an outage of one gateway's path to the store that is taken
-/// for one of the store, since a server that has left was used for 12 s (issue
-/// 17).
-TEST(Directory, AnEntryThatGoesWhileAnotherGatewayHearsTheStoreIsNoLapse) {
+/// Guards against a lost connection of one gateway to the store being taken for
+/// a store outage: a server that had left was used for 12 s (issue 17).
+TEST(Directory, AnEntryRemovedWhileAnotherGatewayHasStoreContactIsLeaving) {
   Directory d;
   d.put(Start, server("s1"));
   d.put(Start, server("s2"));
-  // This gateway's own session is lost; another one still reads the list.
-  const base::Instant gone = Start + seconds(5);
-  keepStoreContactUntil(d, gone);
-  d.remove(gone, {"s1"}, Evidence::Gateway);
-  const auto left = d.usable(gone, "llm");
+  // This gateway has lost its own connection; another one still reads the list.
+  const base::Instant removedAt = Start + seconds(5);
+  keepStoreContactUntil(d, removedAt);
+  d.remove(removedAt, {"s1"}, Evidence::Gateway);
+  const auto left = d.usable(removedAt, "llm");
   ASSERT_EQ(left.size(), 1U);
   EXPECT_EQ(left[0]->Listed.Id, "s2");
 }
 
-/// Guards against a gateway that was isolated and keeps servers that have left
-/// for as long as after an outage of the store.
-TEST(Directory, WhoWasIsolatedIsToldThatThereWasNoOutage) {
+/// Guards against a gateway that was isolated keeping servers that have left
+/// for as long as after a store outage.
+TEST(Directory, AnIsolatedGatewayLearnsThatThereWasNoOutage) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, server("s1"));
@@ -171,9 +171,9 @@
   EXPECT_EQ(d.storeStableSince(), Start - seconds(9));
 }
 
-/// Guards against a grace that begins when the store is heard again, up to a
-/// second after its return (random runs, seed 80).
-TEST(Directory, TheGraceBeginsWithTheEarliestReturnOfTheStore) {
+/// Guards against a grace period that starts only at the next store contact, up
+/// to a second after the store's return (random test, seed 80).
+TEST(Directory, GracePeriodStartsAtTheEarliestReturnOfTheStore) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, server("s1"));
@@ -187,8 +187,9 @@
   EXPECT_TRUE(d.usable(back, "llm").empty());
 }
 
-/// A connection that dies in silence is noticed before any entry can lapse.
-TEST(Directory, AShortSilenceOfTheStoreIsNoOutage) {
+/// A connection that stops answering is detected before any entry can expire,
+/// so a gap this short is not an outage.
+TEST(Directory, AShortGapInStoreContactIsNoOutage) {
   Directory d(milliseconds(1'000));
   int outages = 0;
   d.OnOutageEnd = [&](base::Duration) { ++outages; };
@@ -204,8 +205,9 @@
   EXPECT_EQ(outages, 1);
 }
 
-/// With 3,000 servers each change made 75 gateways fetch 195 KB (sweep).
-TEST(Directory, ChangesOfTheListSuffice) {
+/// With 3,000 servers, fetching the full list after each change cost 75
+/// gateways 195 KB each (load sweep), so applying the changes has to suffice.
+TEST(Directory, ChangesAloneKeepListsEqual) {
   Directory follower;
   Directory other;
   keepStoreContactUntil(follower, Start);
@@ -235,9 +237,9 @@
   return listed;
 }
 
-/// A change that comes late through another gateway would bring back a server
-/// that the store has taken away since, and nothing would correct it.
-TEST(Directory, AnOlderChangeUndoesNothing) {
+/// Guards against a delayed change from another gateway bringing back a server
+/// that has since been removed from the store; nothing would correct it.
+TEST(Directory, AnOlderChangeIsIgnored) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
@@ -248,14 +250,14 @@
   EXPECT_FALSE(d.isListed("s1"));
   d.put(Start, listedAt("s1", 13), Evidence::Gateway);
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
-  // Messages of two gateways overtake each other.
+  // Messages of two gateways may arrive out of order.
   d.remove(Start, {"s1", 12}, Evidence::Gateway);
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
 }
 
-/// Guards against the list of a gateway that has just started: it knows nothing
-/// (random runs, seed 80).
-TEST(Directory, AnEmptyListOfAGatewayThatHasJustStartedTakesNothingAway) {
+/// Guards against applying the empty list of a gateway that has just started
+/// (random test, seed 80).
+TEST(Directory, AnEmptyListOfANewGatewayRemovesNothing) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
@@ -263,10 +265,9 @@
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
 }
 
-/// Guards against a gateway that ignores what others tell of the list for a
-/// second after its own session was lost, and used a server 2.1 s after it
-/// left.
-TEST(Directory, AChangeOfAnotherGatewayHoldsWhileThisOneHearsTheStore) {
+/// Guards against ignoring other gateways' changes for a second after the own
+/// connection to the store was lost: a server was used 2.1 s after it left.
+TEST(Directory, AChangeFromAPeerAppliesDuringStoreContact) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
@@ -274,10 +275,12 @@
   EXPECT_TRUE(d.usable(Start + milliseconds(50), "llm").empty());
 }
 
-/// Gateways change places in following the list: one that knew a new engine
-/// fetched a list without it and never used it again (four of seven engines
-/// left on pwani-minutes scale-1, forecasts of 35,000 tokens for 34,000).
-TEST(Directory, AnOlderListOfAPeerTakesNothingAway) {
+/// Guards against an older list from a peer removing a newer server. When
+/// gateways took turns watching the store's list, one that knew a new engine
+/// fetched a list without it and never used it again (only four of seven
+/// engines remained in use on pwani-minutes scale-1, forecasts of 35,000 tokens
+/// for 34,000).
+TEST(Directory, AnOlderListFromAPeerRemovesNothing) {
   Directory d;
   keepStoreContactUntil(d, Start);
   d.put(Start, listedAt("s1", 10));
@@ -289,17 +292,17 @@
   d.applySnapshot(Start + milliseconds(950), {20, {listedAt("s1", 10)}, {}},
                   Evidence::Gateway);
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
-  // It lists itself again: it never left.
+  // The server lists itself again, so it never left.
   d.put(Start + seconds(1), listedAt("s2", 21));
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 2U);
   EXPECT_TRUE(d.leaving(Start + seconds(1)).empty());
-  // What another gateway knows to have gone is in its list.
+  // A peer's list includes the removals known to the peer.
   d.applySnapshot(Start + seconds(1), {20, {listedAt("s1", 10)}, {{"s2", 22}}},
                   Evidence::Gateway);
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
 }
 
-TEST(Directory, LeavingServersNeverComeBack) {
+TEST(Directory, LeavingServersNeverBecomeReadyAgain) {
   Directory d;
   ListedServer s = server("s1");
   d.put(Start, s);
@@ -308,57 +311,58 @@
   s.State = ServerState::Ready;
   d.put(Start + seconds(1), s);
   EXPECT_TRUE(d.usable(Start + seconds(1), "llm").empty());
-  // Other gateways are told apart from the list.
+  // Leaving servers are announced to other gateways separately from the list.
   EXPECT_EQ(d.leaving(Start), std::vector<ServerInstance>{{"s1"}});
   EXPECT_TRUE(d.leaving(Start + seconds(6)).empty());
 }
 
-ListedServer bornAt(std::int64_t ms, ServerState state = ServerState::Ready) {
+ListedServer startedAt(std::int64_t ms,
+                       ServerState state = ServerState::Ready) {
   ListedServer listed = server("s1");
   listed.StartedAt = milliseconds(ms);
   listed.State = state;
   return listed;
 }
 
-/// A server that starts again under its id would never be used again, since its
-/// earlier life said that it leaves.
-TEST(Directory, AServerThatStartsAgainUnderItsIdIsNew) {
+/// Guards against a restarted server that keeps its id never being used again
+/// because its previous instance announced that it was leaving.
+TEST(Directory, ARestartedServerWithTheSameIdIsNew) {
   Directory d;
-  d.put(Start, bornAt(1'000, ServerState::Leaving));
+  d.put(Start, startedAt(1'000, ServerState::Leaving));
   d.recordOutcome(Start, "s1", ServerOutcome::Incomplete);
   d.requestStarted("s1");
   EXPECT_TRUE(d.usable(Start, "llm").empty());
   const std::uint64_t before = d.digest();
-  EXPECT_FALSE(d.isListedAs(bornAt(2'000)));
-  d.put(Start, bornAt(2'000));
+  EXPECT_FALSE(d.isListedAs(startedAt(2'000)));
+  d.put(Start, startedAt(2'000));
   ASSERT_EQ(d.usable(Start, "llm").size(), 1U);
   EXPECT_NE(d.digest(), before);
   EXPECT_TRUE(d.ejected(Start).empty());
   EXPECT_EQ(d.find("s1")->OpenRequests, 1);
-  // It can leave again.
+  // The new instance can leave in turn.
   int left = 0;
   d.OnLeaving = [&](const Server &) { ++left; };
-  d.put(Start, bornAt(2'000, ServerState::Leaving));
+  d.put(Start, startedAt(2'000, ServerState::Leaving));
   EXPECT_EQ(left, 1);
 }
 
-TEST(Directory, NewsOfAnEarlierLifeOfAServerSayNothing) {
+TEST(Directory, MessagesAboutAnEarlierInstanceAreIgnored) {
   Directory d;
-  d.put(Start, bornAt(2'000));
-  d.put(Start, bornAt(1'000, ServerState::Leaving));
+  d.put(Start, startedAt(2'000));
+  d.put(Start, startedAt(1'000, ServerState::Leaving));
   d.markLeaving(Start, {"s1", milliseconds(1'000)});
-  ServerNotice earlier{bornAt(1'000), true, milliseconds(500)};
+  ServerNotice earlier{startedAt(1'000), true, milliseconds(500)};
   d.applyNotice(Start, earlier);
   d.applyEjection(Start, {"s1", 3, seconds(1), milliseconds(1'000)});
   EXPECT_EQ(d.usable(Start, "llm").size(), 1U);
   EXPECT_TRUE(d.ejected(Start).empty());
   EXPECT_EQ(d.find("s1")->Listed.StartedAt, milliseconds(2'000));
-  // A later life may be heard of from the process beside it first.
-  ServerNotice later{bornAt(3'000), true, milliseconds(500)};
+  // A sidecar's notice may be the first message about a later instance.
+  ServerNotice later{startedAt(3'000), true, milliseconds(500)};
   d.applyNotice(Start, later);
   EXPECT_TRUE(d.usable(Start, "llm").empty());
   EXPECT_EQ(d.find("s1")->ShutdownAt, Start + milliseconds(500));
-  d.put(Start, bornAt(2'000));
+  d.put(Start, startedAt(2'000));
   EXPECT_TRUE(d.usable(Start, "llm").empty());
 }
 
@@ -368,7 +372,7 @@
   return n;
 }
 
-TEST(Directory, NoticesSayWhenAServerIsGone) {
+TEST(Directory, NoticesSetTheShutdownTime) {
   Directory d;
   d.put(Start, server("s1", "llm", "a", 1));
   d.put(Start, server("s2", "llm", "a", 2));
@@ -380,17 +384,17 @@
   EXPECT_TRUE(d.find("s2")->IsLeaving);
   EXPECT_FALSE(d.find("s2")->IsPlannedLeave);
   EXPECT_EQ(d.find("s2")->ShutdownAt, Start + milliseconds(1'700));
-  // A repeated notice does not put it off.
+  // A repeated notice does not extend the time.
   d.applyNotice(Start + seconds(1), n);
   EXPECT_EQ(d.find("s2")->ShutdownAt, Start + milliseconds(1'700));
   EXPECT_EQ(d.leaving(Start + seconds(1)), std::vector<ServerInstance>{{"s2"}});
-  // What was told does not change what the list says.
+  // A notice does not change the list as read from the store.
   EXPECT_EQ(d.list().Servers[1].State, ServerState::Ready);
 }
 
-/// After a power loss of everything the list holds servers that have ended:
-/// 11 to 15 streams a day were refused.
-TEST(Directory, ANoticeBringsTheServerThatTookAnAddress) {
+/// Guards against using ended servers that the list still contains after a
+/// power loss of all VMs: 11 to 15 streams per day were refused.
+TEST(Directory, ANoticeAddsTheServerThatReusesAnAddress) {
   Directory d;
   d.put(Start, server("s1", "llm", "a", 1));
   d.applyNotice(Start, notice("s1", 1));
@@ -400,14 +404,15 @@
   ASSERT_EQ(usable.size(), 1U);
   EXPECT_EQ(usable[0]->Listed.Id, "n1");
   EXPECT_TRUE(d.find("s1")->IsReplaced);
-  // The list does not hold it yet: others are not told of it, and reading the
-  // list does not take it away (it would never come back).
+  // The list does not contain the new server yet: it is not sent to others, and
+  // reading the list does not remove it (it would never come back).
   EXPECT_EQ(d.list().Servers.size(), 1U);
   d.applySnapshot(Start + seconds(1), {0, {server("s1", "llm", "a", 1)}, {}});
   EXPECT_EQ(d.usable(Start + seconds(1), "llm").size(), 1U);
   d.put(Start + seconds(2), server("n1", "llm", "a", 1));
   EXPECT_EQ(d.list().Servers.size(), 2U);
-  // A notice without an id, or of an unknown one that leaves, says nothing.
+  // A notice without an id, or one that an unknown server is leaving, is
+  // ignored.
   d.applyNotice(Start, notice("", 3));
   ServerNotice leaving = notice("n3", 3);
   leaving.IsLeaving = true;
@@ -415,8 +420,9 @@
   EXPECT_EQ(d.usable(Start + seconds(2), "llm").size(), 1U);
 }
 
-/// The list can hold both for some seconds: eight streams a day were refused.
-TEST(Directory, ANoticeEndsTheListedServerBeforeItAtItsAddress) {
+/// The list can contain both servers for some seconds: eight streams per day
+/// were refused.
+TEST(Directory, ANoticeEndsTheServerListedEarlierAtItsAddress) {
   Directory d;
   d.put(Start, server("s1", "llm", "a", 1));
   d.put(Start, server("n1", "llm", "a", 1));
@@ -427,14 +433,14 @@
   EXPECT_EQ(usable[0]->Listed.Id, "n1");
 }
 
-TEST(Directory, AReplacedServerGetsNothingMore) {
+TEST(Directory, AReplacedServerGetsNoRequests) {
   Directory d;
   d.put(Start, server("s1"));
   d.markReplaced(Start, "s1");
   EXPECT_TRUE(d.usable(Start, "llm").empty());
 }
 
-TEST(Directory, FailingServersAreAvoidedAndTriedAgain) {
+TEST(Directory, FailingServersAreEjectedAndTriedAgain) {
   Directory d;
   d.put(Start, server("s1"));
   d.put(Start, server("s2"));
@@ -442,15 +448,16 @@
     d.recordOutcome(Start, "s1", ServerOutcome::Failed);
   ASSERT_EQ(d.usable(Start, "llm").size(), 1U);
   EXPECT_EQ(d.usable(Start + seconds(3), "llm").size(), 2U);
-  // When all fail, all are tried.
+  // When all servers fail, all are tried.
   for (int i = 0; i < 20; ++i)
     d.recordOutcome(Start, "s2", ServerOutcome::Failed);
   EXPECT_EQ(d.usable(Start, "llm").size(), 2U);
 }
 
-/// A server that resets everything is the emptiest of all: every gateway must
-/// hear of it after the first broken answer.
-TEST(Directory, ABrokenAnswerIsToldToTheOthers) {
+/// Guards against other gateways learning too late that a server resets every
+/// connection: such a server appears the least loaded, so one incomplete
+/// response must be enough to eject it everywhere.
+TEST(Directory, AnIncompleteResponseEjectsAtEveryGateway) {
   Directory here;
   Directory there;
   for (Directory *d : {&here, &there}) {
@@ -462,7 +469,8 @@
   there.applyEjection(Start, here.ejected(Start)[0]);
   EXPECT_EQ(there.usable(Start, "llm").size(), 1U);
   EXPECT_EQ(there.usable(Start + seconds(2), "llm").size(), 2U);
-  // Again: twice as long. What is known already does not put it off.
+  // A second incomplete response doubles the ejection time. An ejection that is
+  // already known does not extend it.
   there.recordOutcome(Start + seconds(2), "s1", ServerOutcome::Incomplete);
   EXPECT_EQ(there.usable(Start + milliseconds(3'900), "llm").size(), 1U);
   there.applyEjection(Start + seconds(3), {"s1", 1, milliseconds(9'000)});
@@ -471,7 +479,7 @@
   EXPECT_EQ(there.find("s1")->IncompleteResponses, 0);
 }
 
-TEST(Directory, DigestsTellListsApart) {
+TEST(Directory, DifferentListsHaveDifferentDigests) {
   Directory a;
   Directory b;
   for (Directory *d : {&a, &b}) {
@@ -479,7 +487,7 @@
     d->put(Start, server("s2"));
   }
   EXPECT_EQ(a.digest(), b.digest());
-  // What a gateway knows besides does not change what it was told.
+  // State from other sources does not change the digest of the received list.
   a.markLeaving(Start, {"s1"});
   a.applyNotice(Start, notice("s9", 9));
   EXPECT_EQ(a.digest(), b.digest());
@@ -490,7 +498,7 @@
   EXPECT_NE(a.digest(), b.digest());
 }
 
-TEST(Directory, OrdinaryFailuresDoNotCount) {
+TEST(Directory, OrdinaryFailureRatesDoNotEject) {
   Directory d;
   d.put(Start, server("s1"));
   d.put(Start, server("s2"));
@@ -513,7 +521,7 @@
   Step Expected;
 };
 
-TEST(AttemptPolicy, OnlyProofOrRepeatabilityAllowsAnotherServer) {
+TEST(AttemptPolicy, OnlyProofOrIdempotenceAllowsAnotherServer) {
   using E = AttemptOutcome;
   using K = RequestKind;
   const PolicyCase cases[] = {
@@ -544,9 +552,10 @@
   }
 }
 
-/// Every combination: "not run" is said only of what cannot have run, and what
-/// may have run once is never sent again unless it may be repeated.
-TEST(AttemptPolicy, HoldsItsPromisesInEveryCase) {
+/// Covers every combination: "not run" is returned only if the request cannot
+/// have run, and a request that may have run is never sent again unless it is
+/// idempotent.
+TEST(AttemptPolicy, NeverRepeatsOrMisreportsInAnyCase) {
   for (int end = 0; end <= static_cast<int>(AttemptOutcome::Unreachable); ++end)
     for (int kind = 0; kind <= static_cast<int>(RequestKind::Stream); ++kind)
       for (int bits = 0; bits < 32; ++bits)
@@ -597,9 +606,10 @@
   EXPECT_EQ(taken, 1);
 }
 
-/// A power loss of everything changes all servers at once: 841 arrivals beyond
-/// the first in 10 s, where 232 were allowed.
-TEST(AttemptPolicy, EndedServersDrawOnTheBudgetToo) {
+/// Guards against unlimited sends to ended servers. A power loss of all VMs
+/// replaces all servers at once: 841 arrivals beyond the first in 10 s, where
+/// 232 were allowed.
+TEST(AttemptPolicy, SendsToEndedServersCountTowardsTheBudget) {
   AttemptState s;
   s.Outcome = AttemptOutcome::WrongServer;
   s.Kind = RequestKind::Stream;
@@ -613,7 +623,7 @@
 
 // Retry budget.
 
-TEST(RetryBudget, StaysBelowItsPartOfEveryWindow) {
+TEST(RetryBudget, StaysBelowItsShareInEveryWindow) {
   RetryBudget budget({0.2, 50, seconds(10)});
   constexpr int Gateways = 5;
   base::Random random(11);
@@ -621,7 +631,7 @@
   std::deque<base::Instant> retries;
   for (int ms = 0; ms < 60'000; ms += 20) {
     const base::Instant now = Start + milliseconds(ms);
-    // Bursts of everything failing.
+    // Bursts in which every request fails.
     const bool isBurst = (ms / 7'000) % 2 == 1;
     if (random.chance(0.5)) {
       budget.recordFirstSend(now, "shop");
@@ -638,7 +648,7 @@
   }
 }
 
-TEST(RetryBudget, ServicesDoNotShareIt) {
+TEST(RetryBudget, ServicesHaveSeparateBudgets) {
   RetryBudget budget({0.0, 2, seconds(10)});
   EXPECT_TRUE(budget.tryRetry(Start, "a", 1));
   EXPECT_FALSE(budget.tryRetry(Start, "a", 1));
@@ -648,7 +658,7 @@
 
 // Event splitter.
 
-TEST(EventSplitter, KeepsACutEventBack) {
+TEST(EventSplitter, HoldsBackATruncatedEvent) {
   EventSplitter s;
   EXPECT_EQ(s.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_TRUE(s.hasPartialEvent());
@@ -659,14 +669,14 @@
   EXPECT_EQ(s.eventCount(), 2U);
 }
 
-TEST(EventSplitter, DropsWhatHasPassed) {
+TEST(EventSplitter, DropsEventsAlreadyReturned) {
   EventSplitter s;
   s.feed("id: 4\ndata: a\n\n");
   EXPECT_EQ(s.feed("id: 3\ndata: x\n\nid: 4\ndata: x\n\nid: 5\ndata: b\n\n"),
             "id: 5\ndata: b\n\n");
 }
 
-TEST(EventSplitter, TakesBytesOneByOneAndAnyLineEnd) {
+TEST(EventSplitter, AcceptsSingleBytesAndAnyLineEnding) {
   for (const std::string eol : {"\n", "\r\n"}) {
     const std::string text = "versions: 3" + eol + "id: 0" + eol + "data: a" +
                              eol + eol + ": note" + eol + eol + "id:1" + eol +
@@ -681,20 +691,20 @@
   }
 }
 
-// Ledger and placement.
+// Run table and placement.
 
-TEST(RunTable, ForecastsWhatRunsWillAdd) {
+TEST(RunTable, ForecastsRemainingTokens) {
   TrackedRun r = run(1, "s", 1'000);
   r.ExpectedTokens = 300;
   r.GeneratedTokens = 100;
   EXPECT_EQ(expectedRemainingTokens(r), 200U);
-  r.GeneratedTokens = 400; // it has outrun its estimate
+  r.GeneratedTokens = 400; // the estimate is exceeded
   EXPECT_EQ(expectedRemainingTokens(r), 200U);
   r.MaxTokens = 450;
   EXPECT_EQ(expectedRemainingTokens(r), 50U);
 }
 
-TEST(RunTable, AddsTheOtherGatewaysAndForgetsSilentOnes) {
+TEST(RunTable, CountsOtherGatewaysAndForgetsSilentOnes) {
   RunTable ledger;
   ledger.upsert(run(1, "s", 1'000));
   ledger.applyPeerSnapshot(Start, "peer", {run(2, "s", 500), run(3, "t", 700)});
@@ -719,7 +729,7 @@
   Placement Placing{Servers, Runs, "a"};
 };
 
-TEST_F(PlacementTest, ChoosesTheEngineThatWillHoldLeast) {
+TEST_F(PlacementTest, ChoosesTheEngineWithTheLowestForecast) {
   Servers.put(Start, server("s1"));
   Servers.put(Start, server("s2"));
   TrackedRun long1 = run(1, "s1", 3'000);
@@ -731,7 +741,7 @@
   EXPECT_EQ(c.Candidates, 2);
 }
 
-TEST_F(PlacementTest, AvoidsEnginesWhoseMemoryWouldOverflow) {
+TEST_F(PlacementTest, AvoidsEnginesWhoseKvCacheWouldOverflow) {
   Servers.put(Start, server("full", "llm", "a"));
   Servers.put(Start, server("far", "llm", "b"));
   for (RunId i = 0; i < 8; ++i) {
@@ -743,7 +753,8 @@
   EXPECT_EQ(c.Chosen->Listed.Id, "far");
 }
 
-/// Gateways that take the list from others hear of a cold server once.
+/// Gateways that get the list from other gateways receive a server's remaining
+/// warm-up time only once.
 TEST_F(PlacementTest, ColdServersWarmUpWithTime) {
   ListedServer cold = server("cold", "llm", "a");
   cold.ColdRemaining = milliseconds(1'000);
@@ -757,7 +768,7 @@
             "cold");
 }
 
-/// Configs divide routes of streams between an engine and a plain service.
+/// A config may split a streaming route between an engine and a plain service.
 TEST_F(PlacementTest, StreamsOfPlainServicesFindAServer) {
   Servers.put(Start, server("plain", "shop"));
   Service shop;
@@ -773,16 +784,17 @@
   EXPECT_EQ(
       Placing.chooseForGeneration(Start, Llm, {100, 10}, {}).Chosen->Listed.Id,
       "near");
-  // A move looks at the zone that the copy comes from.
+  // For a migration, the zone of the copy's source counts.
   const Server source{server("source", "llm", "b")};
   EXPECT_EQ(Placing.chooseForMigration(Start, Llm, {100, 10}, source, {})
                 .Chosen->Listed.Id,
             "far");
 }
 
-/// Engines that reset every request and say that they are well were tried again
-/// by long streams, several at once (lernwerk-ob-grown trouble-1, 25 lost).
-TEST_F(PlacementTest, AStruckEngineIsTriedByOneShortGenerationAtATime) {
+/// Guards against long streams, several at once, serving as trials of an engine
+/// that resets every request but reports itself healthy (lernwerk-ob-grown
+/// trouble-1, 25 streams lost).
+TEST_F(PlacementTest, AFailingEngineIsTriedByOneShortGenerationAtATime) {
   Servers.put(Start, server("failing"));
   Servers.put(Start, server("busy"));
   Servers.recordOutcome(Start, "failing", ServerOutcome::Incomplete);
@@ -804,11 +816,11 @@
   EXPECT_EQ(chosen(700), "failing");
 }
 
-/// Three engines of one zone left at once, and all their generations went to
-/// one destination after another: each copy waited behind two others, and the
-/// last ones came after the engines' end (lernwerk-ob-grown scale-1, 21 streams
-/// cut).
-TEST_F(PlacementTest, MovesOfSeveralSourcesSpreadOverDestinations) {
+/// Guards against all migrations choosing the same destinations one after
+/// another when three engines of a zone leave at once: each copy waited behind
+/// two others, and the last ones finished after the engines had shut down
+/// (lernwerk-ob-grown scale-1, 21 streams interrupted).
+TEST_F(PlacementTest, MigrationsFromSeveralSourcesUseSeveralDestinations) {
   constexpr int Destinations = 12;
   for (int i = 0; i < Destinations; ++i)
     Servers.put(Start, server("d" + std::to_string(i)));
@@ -822,7 +834,7 @@
   EXPECT_GE(chosen.size(), 4U);
 }
 
-TEST_F(PlacementTest, AMoveKeepsAwayFromWhereAnotherCopyGoes) {
+TEST_F(PlacementTest, AMigrationAvoidsTheDestinationOfAnotherCopy) {
   Servers.put(Start, server("d1"));
   Servers.put(Start, server("d2"));
   const Server source{server("source")};
@@ -848,7 +860,7 @@
   EXPECT_EQ(Placing.chooseForRequest(Start, "llm", tried, random), nullptr);
 }
 
-TEST_F(PlacementTest, CallsGoWhereFewestAreOpen) {
+TEST_F(PlacementTest, RequestsGoToTheServerWithTheFewestOpen) {
   Servers.put(Start, server("near", "shop", "a"));
   Servers.put(Start, server("far", "shop", "b"));
   base::Random random(1);
@@ -862,9 +874,9 @@
             "near");
 }
 
-// Move plan.
+// Migration order.
 
-TEST(MovePlan, GatewaysAgreeOnOneOrder) {
+TEST(MigrationOrder, GatewaysAgreeOnOneOrder) {
   std::vector<TrackedRun> there;
   for (RunId i = 1; i <= 6; ++i)
     there.push_back(run(i, "s", 1'000 + static_cast<std::uint32_t>(i % 3),
@@ -873,7 +885,7 @@
   while (!there.empty()) {
     std::vector<RunId> turns;
     for (std::size_t i = 0; i < there.size(); ++i) {
-      // Each gateway sees the list in an order of its own.
+      // Each gateway sees the runs in a different order.
       std::vector<TrackedRun> seen = there;
       std::rotate(seen.begin(), seen.begin() + static_cast<std::ptrdiff_t>(i),
                   seen.end());
@@ -884,11 +896,11 @@
     order.push_back(turns[0]);
     std::erase_if(there, [&](const TrackedRun &r) { return r.Id == turns[0]; });
   }
-  // What ends within the notice comes last.
+  // A generation that ends within the notice comes last.
   EXPECT_EQ(order.back(), 6U);
 }
 
-TEST(MovePlan, ProgressDoesNotChangeTheOrder) {
+TEST(MigrationOrder, ProgressDoesNotChangeTheOrder) {
   TrackedRun a = run(1, "s", 1'000);
   TrackedRun b = run(2, "s", 1'000);
   a.HasFirstToken = true;
@@ -902,10 +914,10 @@
   EXPECT_NE(isNextToMigrate(after, b), aFirst);
 }
 
-/// A generation whose prompt was still being read held up the others of a
-/// leaving engine for 0.9 s, and then all copied at once (pwani-minutes-grown
-/// trouble-3, 49 streams cut).
-TEST(MovePlan, WhatHasNotBegunHoldsNobodyUp) {
+/// Guards against a generation still in prefill blocking the others of a
+/// leaving engine: they waited for 0.9 s and were then all copied at once
+/// (pwani-minutes-grown trouble-3, 49 streams interrupted).
+TEST(MigrationOrder, RunsWithoutOutputDoNotBlockOthers) {
   TrackedRun unread = run(1, "s", 1'000, 8'000);
   TrackedRun begun = run(2, "s", 4'000, 400);
   begun.HasFirstToken = true;
@@ -914,7 +926,7 @@
   EXPECT_FALSE(isNextToMigrate(there, unread));
 }
 
-TEST(MovePlan, ACopyUnderWayIsNotOvertaken) {
+TEST(MigrationOrder, ACopyInProgressIsNotOvertaken) {
   TrackedRun moving = run(1, "s", 4'000, 400);
   moving.HasFirstToken = true;
   moving.CopyServer = "d";
@@ -925,7 +937,7 @@
   EXPECT_FALSE(isNextToMigrate(there, better));
 }
 
-TEST(MovePlan, WhatIsWorthMostForItsCopyGoesFirst) {
+TEST(MigrationOrder, TheHighestValuePerCopyTimeGoesFirst) {
   TrackedRun large = run(1, "s", 6'000, 2'000);
   large.HasFirstToken = true;
   TrackedRun small = run(2, "s", 1'500, 2'000);
@@ -934,7 +946,7 @@
   EXPECT_TRUE(isNextToMigrate(there, small));
 }
 
-TEST(MovePlan, CopiesTakeTheTimeOfTheirBytes) {
+TEST(MigrationOrder, CopyTimeFollowsSizeAndBandwidth) {
   EngineTraits engine;
   engine.BytesPerToken = 18'432;
   engine.LinkMbps = 2'700;
@@ -955,10 +967,10 @@
   return message;
 }
 
-TEST(Peers, AreFoundFromSeedsAndFromEachOther) {
+TEST(Peers, AreDiscoveredFromSeedsAndMessages) {
   Peers peers(Start,
               {"own", {"10.0.0.1", 9}, 1, {{"10.0.0.2", 9}, {"10.0.0.1", 9}}});
-  // The own address is no peer.
+  // A gateway's own address is not a peer.
   ASSERT_EQ(peers.sendTargets(Start).size(), 1U);
   EXPECT_TRUE(peers.live(Start).empty());
   wire::Gossip message = gossip("10.0.0.2:9", 7);
@@ -977,11 +989,11 @@
             Peers::ReceiveResult::Ignored);
 }
 
-TEST(Peers, SilentOnesAreToldSeldomAndStillCountForAWhile) {
+TEST(Peers, SilentOnesAreContactedLessOftenAndStillCount) {
   Peers peers(Start, {"own", {"10.0.0.1", 9}, 1, {}});
   peers.recordMessage(Start, gossip("10.0.0.2:9"));
-  // Just after the start nobody may have been heard yet: after a power loss
-  // each gateway took the whole allowance for itself.
+  // No peers may have been seen just after the start: after a power loss, each
+  // gateway used the entire retry budget for itself.
   EXPECT_GE(peers.gatewayCount(Start), 20);
   const base::Instant later = Start + seconds(5);
   EXPECT_TRUE(peers.live(later).empty());
@@ -993,7 +1005,7 @@
   EXPECT_EQ(peers.gatewayCount(Start + seconds(30)), 1);
 }
 
-TEST(Peers, AFewFollowTheListForAll) {
+TEST(Peers, AFewWatchTheListForAll) {
   constexpr int Gateways = 9;
   const auto address = [](int i) {
     return base::Endpoint{"10.0.0." + std::to_string(i), 9};
@@ -1004,31 +1016,31 @@
         Start, PeersOptions{std::to_string(i), address(i), 1,
                             std::vector<base::Endpoint>{}}));
   std::vector<bool> watches(Gateways, true);
-  const auto talk = [&](base::Instant now, int cutOff) {
+  const auto exchangeMessages = [&](base::Instant now, int disconnected) {
     for (int from = 0; from < Gateways; ++from)
       for (int to = 0; to < Gateways; ++to) {
         wire::Gossip message = gossip(base::toString(address(from)));
         message.set_watches_list(watches[from]);
-        message.set_list_age_ms(from == cutOff ? 5'000 : 0);
+        message.set_list_age_ms(from == disconnected ? 5'000 : 0);
         if (from != to)
           all[to]->recordMessage(now, message);
       }
     for (int i = 0; i < Gateways; ++i)
       watches[i] = all[i]->shouldWatchList(now);
   };
-  talk(Start, -1);
-  talk(Start, -1);
+  exchangeMessages(Start, -1);
+  exchangeMessages(Start, -1);
   EXPECT_EQ(std::count(watches.begin(), watches.end(), true), 2);
-  // One of them is turned away by the store: another takes its place.
+  // One of them loses access to the store, and another takes its place.
   const auto first = std::find(watches.begin(), watches.end(), true);
-  const int cutOff = static_cast<int>(first - watches.begin());
-  talk(Start, cutOff);
+  const int disconnected = static_cast<int>(first - watches.begin());
+  exchangeMessages(Start, disconnected);
   const auto others = std::count(watches.begin(), watches.end(), true) -
-                      (watches[cutOff] ? 1 : 0);
+                      (watches[disconnected] ? 1 : 0);
   EXPECT_EQ(others, 2);
 }
 
-TEST(Peers, AGoodbyeEndsThePeer) {
+TEST(Peers, ALastMessageEndsThePeer) {
   Peers peers(Start, {"own", {"10.0.0.1", 9}, 1, {}});
   wire::Gossip message = gossip("10.0.0.2:9");
   peers.recordMessage(Start, message);
@@ -1039,7 +1051,7 @@
 
 // Event log.
 
-TEST(EventLog, LinesAreJsonWhateverCallersSend) {
+TEST(EventLog, LinesAreValidJsonForAnyText) {
   int ends[2];
   ASSERT_EQ(::pipe(ends), 0);
   EventLog log("p", ends[1]);
@@ -1058,7 +1070,7 @@
   ::close(ends[1]);
 }
 
-TEST(EventLog, AReaderThatStopsCostsLinesAndNoTime) {
+TEST(EventLog, ABlockedReaderCausesDroppedLinesButNoDelay) {
   int ends[2];
   ASSERT_EQ(::pipe(ends), 0);
   ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
