--- a/include/drumlanding/gateway/attempt-policy.h
+++ b/include/drumlanding/gateway/attempt-policy.h
@@ -1,9 +1,9 @@
 /// Attempt policy: decides what to do after an attempt at a backend server has
 /// ended.
 ///
-///   Step s = nextStep({AttemptOutcome::Incomplete, RequestKind::Idempotent,
-///   ...},
-///                     takeRetry);
+///   AttemptState state;
+///   state.Outcome = AttemptOutcome::Incomplete;
+///   Step s = nextStep(state, takeRetry);
 ///
 /// A request is sent to another server only if it provably did not run or is
 /// idempotent.
--- a/include/drumlanding/gateway/datagram-socket.h
+++ b/include/drumlanding/gateway/datagram-socket.h
@@ -1,6 +1,6 @@
 /// Datagram socket: UDP transport for the messages between gateways and
-/// sidecars. Lost datagrams are harmless,
-/// because the state is sent again regularly.
+/// sidecars. Lost datagrams are harmless, because the state is sent again
+/// regularly.
 ///
 ///   auto socket = DatagramSocket::open(io, endpoint);
 ///   value(socket)->send(peer, bytes);
--- a/include/drumlanding/gateway/directory.h
+++ b/include/drumlanding/gateway/directory.h
@@ -57,7 +57,7 @@
   /// Assumed to be leaving only because its entry is missing. A new entry of
   /// the same server clears this.
   bool IsPresumedLeaving = false;
-  /// Moving average of the failure rate; recent outcomes weigh more.
+  /// Exponentially weighted fraction of failures among recent outcomes.
   double FailureRate = 0;
   /// Incomplete responses since the last complete one, at this or another
   /// gateway.
--- a/include/drumlanding/gateway/placement.h
+++ b/include/drumlanding/gateway/placement.h
@@ -49,7 +49,7 @@
                             std::span<const std::string> tried) const;
 
   /// Chooses a plain server: the one with the fewest open requests of this
-  /// gateway and, among equals, one in the same zone.
+  /// gateway and recent failures. Among equals, one in the same zone.
   const Server *chooseForRequest(base::Instant now, std::string_view service,
                                  std::span<const std::string> tried,
                                  base::Random &random) const;
--- a/include/drumlanding/gateway/protocol-codec.h
+++ b/include/drumlanding/gateway/protocol-codec.h
@@ -2,7 +2,7 @@
 /// HTTP headers, paths and fields of clients and backend servers. The gateway
 /// itself depends on none of these.
 ///
-///   ProtocolCodec codec = platform::makeDialect();
+///   ProtocolCodec codec = platform::makeProtocolCodec();
 ///   CallerRequest r = codec.DecodeRequest(std::move(request));
 ///   http::Request out = codec.EncodeServerRequest(r, metadata);
 #pragma once
--- a/include/drumlanding/gateway/store-reader.h
+++ b/include/drumlanding/gateway/store-reader.h
@@ -1,7 +1,7 @@
 /// Store reader: callbacks that read the config and the list of backend servers
 /// from the store. The gateway decides when to call them.
 ///
-///   StoreReader reader = platform::makeSource(store);
+///   StoreReader reader = platform::makeStoreReader(store);
 ///   Result<ConfigText> c = co_await reader.ReadConfig();
 #pragma once
 
