--- a/include/drumlanding/gateway/placement.h
+++ b/include/drumlanding/gateway/placement.h
@@ -32,9 +32,8 @@
 
 class Placement {
 public:
-  Placement(const Directory &directory, const RunTable &ledger,
-            std::string zone)
-      : Servers(directory), Runs(ledger), Zone(std::move(zone)) {}
+  Placement(const Directory &directory, const RunTable &runs, std::string zone)
+      : Servers(directory), Runs(runs), Zone(std::move(zone)) {}
 
   /// Chooses an engine for a new generation, by the delay that the generation
   /// would encounter and cause there and by the available KV cache.
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -36,9 +36,9 @@
 /// Cost of each copy in transit to an engine: copies queue on its link, for a
 /// quarter of a second each.
 constexpr double IncomingCopyCostMs = 1'500;
-/// Maximum of a fixed cost per pair of servers. Engines that start to leave at
-/// the same time do not know of each other's copies yet; this spreads them over
-/// destinations.
+/// Maximum of a fixed cost per pair of servers. When several engines start to
+/// leave at the same time, their copies are not in the run table yet; this cost
+/// spreads them over destinations.
 constexpr double MaxSpreadCostMs = 300;
 
 /// Costs of failures for plain servers, in open requests.
--- a/test/gateway-random-test.cc
+++ b/test/gateway-random-test.cc
@@ -244,7 +244,8 @@
     wait(milliseconds(a.WaitMs));
   }
 
-  /// Ends all faults and checks that every gateway knows the actual state.
+  /// Ends all faults and checks that every gateway has the actual
+  /// state.
   void settle() {
     IsStoreUp = true;
     LosesMessages = false;
@@ -630,7 +631,7 @@
     }
     if (!usable.empty())
       Violations +=
-          core.Address + " uses " + *usable.begin() + ", which is gone; ";
+          core.Address + " uses " + *usable.begin() + ", which is not there; ";
   }
 
   void checkRuns(const Core &core) {
--- a/test/gateway-test.cc
+++ b/test/gateway-test.cc
@@ -276,10 +276,10 @@
 }
 
 /// Guards against an older list from a peer removing a newer server. When
-/// gateways took turns watching the store's list, one that knew a new engine
-/// fetched a list without it and never used it again (only four of seven
-/// engines remained in use on pwani-minutes scale-1, forecasts of 35,000 tokens
-/// for 34,000).
+/// gateways took turns watching the store's list, one whose list contained a
+/// new engine fetched a list without it and never used it again (only four of
+/// seven engines remained in use on pwani-minutes scale-1, forecasts of 35,000
+/// tokens for 34,000).
 TEST(Directory, AnOlderListFromAPeerRemovesNothing) {
   Directory d;
   keepStoreContactUntil(d, Start);
@@ -705,16 +705,16 @@
 }
 
 TEST(RunTable, CountsOtherGatewaysAndForgetsSilentOnes) {
-  RunTable ledger;
-  ledger.upsert(run(1, "s", 1'000));
-  ledger.applyPeerSnapshot(Start, "peer", {run(2, "s", 500), run(3, "t", 700)});
-  EXPECT_EQ(ledger.loads()["s"].Running, 2);
-  EXPECT_EQ(ledger.loads()["s"].UsedTokens, 1'500U);
-  EXPECT_EQ(ledger.runsOn("t").size(), 1U);
-  ledger.tick(Start + seconds(5));
-  EXPECT_EQ(ledger.loads()["s"].Running, 1);
-  ledger.remove(1);
-  EXPECT_EQ(ledger.loads()["s"].Running, 0);
+  RunTable table;
+  table.upsert(run(1, "s", 1'000));
+  table.applyPeerSnapshot(Start, "peer", {run(2, "s", 500), run(3, "t", 700)});
+  EXPECT_EQ(table.loads()["s"].Running, 2);
+  EXPECT_EQ(table.loads()["s"].UsedTokens, 1'500U);
+  EXPECT_EQ(table.runsOn("t").size(), 1U);
+  table.tick(Start + seconds(5));
+  EXPECT_EQ(table.loads()["s"].Running, 1);
+  table.remove(1);
+  EXPECT_EQ(table.loads()["s"].Running, 0);
 }
 
 struct PlacementTest : testing::Test {
