--- a/test/gateway-random-test.cc
+++ b/test/gateway-random-test.cc
@@ -244,8 +244,7 @@
     wait(milliseconds(a.WaitMs));
   }
 
-  /// Ends all faults and checks that every gateway has the actual
-  /// state.
+  /// Ends all faults and checks that every gateway has the actual state.
   void settle() {
     IsStoreUp = true;
     LosesMessages = false;
