--- a/include/drumlanding/gateway/datagram-socket.h
+++ b/include/drumlanding/gateway/datagram-socket.h
@@ -1,10 +1,11 @@
-/// Datagrams: how gateways and sidecars send what they know. Lost ones do no
-/// harm: the next says the same.
+/// Datagram socket: UDP transport for the messages between gateways and
+/// sidecars. Lost datagrams are harmless, because the state is sent again
+/// regularly.
 ///
-///   auto socket = Datagrams::open(io, endpoint);
+///   auto socket = DatagramSocket::open(io, endpoint);
 ///   value(socket)->send(peer, bytes);
-///   co_await value(socket)->receive([](std::string_view bytes, Sender from)
-///   {});
+///   co_await value(socket)->receive(
+///       [](std::string_view bytes, DatagramSocket::Sender from) {});
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -27,7 +28,7 @@
   using Handler = std::function<void(std::string_view bytes, const Sender &)>;
 
   static base::Result<std::unique_ptr<DatagramSocket>>
-  open(asio::io_context &io, const base::Endpoint &at);
+  open(asio::io_context &io, const base::Endpoint &address);
 
   void send(const base::Endpoint &to, std::string_view bytes);
   void reply(const Sender &to, std::string_view bytes);
--- a/src/gateway/migration-order.cc
+++ b/src/gateway/migration-order.cc
@@ -6,31 +6,31 @@
 namespace drumlanding::gateway {
 namespace {
 
-/// Tokens that an engine makes for one generation within its shortest notice:
-/// 1.5 s at 10 ms a token.
+/// Tokens generated for one request within the shortest shutdown notice: 1.5 s
+/// at 10 ms per token.
 constexpr std::uint32_t TokensInNotice = 150;
-/// An output token is worth this many prompt tokens to the callers (from their
-/// sheet of what counts).
+/// Value of an output token in prompt tokens, from the clients' specification.
 constexpr double OutputWeight = 10;
 /// Copies between zones take twice as long as within one.
 constexpr int OtherZoneFactor = 2;
 constexpr double BitsPerByte = 8;
 
-/// Returns what a run is worth for the time that its copy takes. Only what
-/// every gateway knows alike and what does not change decides.
-double worthOf(const TrackedRun &run) {
+/// Returns a run's value per copy time. Uses only values that are the same at
+/// every gateway and do not change during the run.
+double valuePerCopyTime(const TrackedRun &run) {
   const double output = std::min(run.ExpectedTokens, run.MaxTokens);
   const double prompt = std::max(run.PromptTokens, 1U);
   return (prompt + OutputWeight * output) / prompt;
 }
 
-/// A copy that is under way is not overtaken, and what has not begun has
-/// nothing to copy yet.
+/// Orders runs for migration. A copy in progress is not overtaken, and a run
+/// that has produced no output has nothing to copy yet.
 bool comesBefore(const TrackedRun &a, const TrackedRun &b) {
   const auto rank = [](const TrackedRun &run) {
-    const bool isMoving = run.HasFirstToken && !run.CopyServer.empty();
-    return std::make_tuple(isMoving, run.HasFirstToken, mayOutlastNotice(run),
-                           worthOf(run), run.Id);
+    const bool isMigrating = run.HasFirstToken && !run.CopyServer.empty();
+    return std::make_tuple(isMigrating, run.HasFirstToken,
+                           mayOutlastNotice(run), valuePerCopyTime(run),
+                           run.Id);
   };
   return rank(a) > rank(b);
 }
@@ -41,10 +41,12 @@
   return run.MaxTokens > TokensInNotice;
 }
 
-bool isNextToMigrate(std::span<const TrackedRun> there, const TrackedRun &own) {
-  return std::none_of(there.begin(), there.end(), [&](const TrackedRun &other) {
-    return other.Id != own.Id && comesBefore(other, own);
-  });
+bool isNextToMigrate(std::span<const TrackedRun> onEngine,
+                     const TrackedRun &own) {
+  return std::none_of(onEngine.begin(), onEngine.end(),
+                      [&](const TrackedRun &other) {
+                        return other.Id != own.Id && comesBefore(other, own);
+                      });
 }
 
 base::Duration copyTime(const EngineTraits &engine, std::uint64_t tokens,
