--- a/src/gateway/shell.cc
+++ b/src/gateway/shell.cc
@@ -23,8 +23,7 @@
 } // namespace
 
 Shell::Shell(asio::io_context &io, const base::Clock &clock,
-             GatewaySettings settings, ProtocolCodec codec,
-             StoreReader store)
+             GatewaySettings settings, ProtocolCodec codec, StoreReader store)
     : Ctx(io, clock, std::move(settings), std::move(codec), std::move(store)),
       Migrations(Ctx), RequestForwarder(Ctx, Migrations) {
   Ctx.Servers.OnLeaving = [this](const Server &server) {
@@ -46,11 +45,9 @@
   };
 }
 
-base::Result<std::unique_ptr<Shell>> Shell::start(asio::io_context &io,
-                                                  const base::Clock &clock,
-                                                  GatewaySettings settings,
-                                                  ProtocolCodec codec,
-                                                  StoreReader store) {
+base::Result<std::unique_ptr<Shell>>
+Shell::start(asio::io_context &io, const base::Clock &clock,
+             GatewaySettings settings, ProtocolCodec codec, StoreReader store) {
   std::unique_ptr<Shell> shell(new Shell(io, clock, std::move(settings),
                                          std::move(codec), std::move(store)));
   if (auto r = shell->listen(); !ok(r))
