--- a/include/drumlanding/bundle/bundle-delta.h
+++ b/include/drumlanding/bundle/bundle-delta.h
@@ -1,8 +1,8 @@
-/// Differences between signed bundles: JSON Patch (RFC 6902) of the documents,
-/// with the new signatures. What comes out is checked by them as a whole.
+/// Deltas between signed bundles: a JSON Patch (RFC 6902) of the documents with
+/// the new signatures, which verify the patched document.
 ///
-///   std::string d = makeDifference(oldSigned, newSigned);
-///   Result<std::string> again = applyDifference(oldSigned, d);
+///   std::string delta = makeBundleDelta(oldSigned, newSigned);
+///   Result<std::string> patched = applyBundleDelta(oldSigned, delta);
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -12,17 +12,17 @@
 
 namespace drumlanding::bundle {
 
-/// Returns the text of a document in the one form that differences rebuild
-/// byte for byte: members sorted, no white space. Other texts are returned as
-/// they are.
+/// Returns a document in the canonical form that applying a delta reproduces
+/// byte for byte: keys sorted, no white space. Returns text that is not valid
+/// JSON unchanged.
 std::string canonicalJson(std::string_view document);
 
-/// Makes the difference between two serialised signed bundles; empty when the
-/// new document is not in canonical form.
+/// Returns the delta between two serialised signed bundles; empty when either
+/// is malformed or the new document is not in canonical form.
 std::string makeBundleDelta(std::string_view oldSigned,
                             std::string_view newSigned);
 
-/// Returns the new serialised signed bundle.
+/// Applies a delta; returns the new serialised signed bundle.
 base::Result<std::string> applyBundleDelta(std::string_view oldSigned,
                                            std::string_view delta);
 
--- a/include/drumlanding/bundle/bundle.h
+++ b/include/drumlanding/bundle/bundle.h
@@ -1,8 +1,8 @@
-/// Bundle: the operators' one document. Everything the system does follows
-/// from it; it changes only by a new signed version.
+/// Bundle: the operators' configuration of the system, in one document. It
+/// changes only through a new signed version.
 ///
 ///   Result<Bundle> r = parseBundle(text);
-///   const Organisation *o = value(r).organisationOf(credential);
+///   const Organisation *o = value(r).organisation("school-1");
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -22,7 +22,7 @@
   std::string Region;
 };
 
-/// The network between two places, the same both ways.
+/// The network link between two places; symmetric.
 struct Link {
   std::string From;
   std::string To;
@@ -37,38 +37,38 @@
 
 enum class ServiceKind { Engine, Plain };
 
-/// A group of equal backend servers.
+/// A group of interchangeable backend servers.
 struct Service {
   std::string Name;
   ServiceKind Kind = ServiceKind::Plain;
-  /// The names of its backend servers. They stay while VMs are replaced.
+  /// Names of its backend servers. A replacement VM keeps the name.
   std::vector<std::string> Servers;
-  /// Engine services: the models its servers may load.
+  /// For engine services: the models that its servers may load.
   std::vector<std::string> Models;
 };
 
-/// What an organisation is promised and allowed.
+/// Guarantees and limits of an organisation.
 struct Contract {
-  /// 0 (last) to 9 (first).
+  /// From 0 (lowest) to 9 (highest).
   int Priority = 5;
-  /// Weight against other organisations of the same priority.
+  /// Weight relative to other organisations of the same priority.
   double Share = 1;
   std::vector<std::string> Models;
   std::vector<std::string> Services;
-  /// Most requests open at a time, per entry.
+  /// Maximum number of open requests, per entry.
   int MaxOpen = 0;
-  /// Most new requests a second, per entry.
+  /// Maximum rate of new requests, per entry.
   double RequestsPerSecond = 0;
-  /// A request is refused at once when it would wait longer than this.
+  /// A request is refused immediately when its predicted wait is longer.
   std::chrono::milliseconds MaxQueueWait{0};
-  /// How much a second of stall, and a long gap between tokens, weigh.
+  /// Cost weights of a second of stall and of a long gap between tokens.
   double StallWeight = 1;
   double GapWeight = 1;
 };
 
 struct Organisation {
   std::string Name;
-  /// BLAKE2b-256 of the credential, hexadecimal; the credential is never kept.
+  /// BLAKE2b-256 of the credential, hexadecimal; the credential is not stored.
   std::string CredentialHash;
   bundle::Contract Contract;
 };
@@ -88,7 +88,7 @@
   std::vector<Service> Services;
   std::vector<Organisation> Organisations;
   bundle::Limits Limits;
-  /// Backend servers that must take no new work.
+  /// Backend servers that must not get new work.
   std::vector<std::string> Drain;
 
   const Organisation *organisation(std::string_view name) const;
@@ -96,19 +96,19 @@
   const Service *service(std::string_view name) const;
   const Service *serviceOfModel(std::string_view model) const;
   bool isDraining(std::string_view server) const;
-  /// One-way time between two places in milliseconds; 0 within a place, a
-  /// cautious constant where the bundle names no link.
+  /// Returns the one-way delay between two places in milliseconds: 0 within a
+  /// place, and a conservative default when the bundle has no such link.
   double oneWayMs(std::string_view from, std::string_view to) const;
 };
 
-/// Reads and checks a bundle. An error's `Where` is the path in the document,
-/// such as organisations[3].contract.share.
+/// Parses and validates a bundle. An error's `Where` is the path in the
+/// document, such as organisations[3].contract.share.
 base::Result<Bundle> parseBundle(std::string_view json);
 
-/// Returns the hash under which a bundle holds a credential.
+/// Returns the hash of a credential, as bundles store it.
 std::string credentialHash(std::string_view credential);
 
-/// Returns one line for each difference, such as
+/// Returns one line per changed value, such as
 /// "organisations.school-1.contract.share: 1 -> 2". Both must be valid JSON.
 base::Result<std::vector<std::string>> diffBundles(std::string_view oldJson,
                                                    std::string_view newJson);
--- a/include/drumlanding/bundle/signature.h
+++ b/include/drumlanding/bundle/signature.h
@@ -1,5 +1,5 @@
-/// Signatures: Ed25519 by libsodium. A bundle is in force only when its author
-/// and somebody else, who signs it off, both signed it.
+/// Bundle signatures: Ed25519 by libsodium. A bundle is valid only with the
+/// signatures of its author and of a different approver.
 ///
 ///   KeyPair author = makeKeyPair();
 ///   SignedBundle s{document};
@@ -18,27 +18,27 @@
 
 enum class Role { Author, Approver };
 
-/// An Ed25519 key pair; raw bytes.
+/// An Ed25519 key pair, as raw bytes.
 struct KeyPair {
   std::string Public;
   std::string Secret;
 };
 
-/// A public key and its signature; raw bytes. Empty when not yet signed.
+/// A public key and a signature by it, as raw bytes. Empty when not yet signed.
 struct Signature {
   std::string Key;
   std::string Bytes;
 };
 
-/// A bundle's text, byte for byte as its author wrote it, with signatures.
+/// A bundle's text, byte for byte as the author wrote it, with its signatures.
 struct SignedBundle {
   std::string Document;
   Signature Author;
   Signature Approver;
 };
 
-/// The public keys a daemon trusts, from its settings. Several of a role allow
-/// keys to be replaced one after the other.
+/// The public keys that a daemon trusts, from its settings. Several keys per
+/// role allow key rotation.
 struct TrustedKeys {
   std::vector<std::string> Authors;
   std::vector<std::string> Approvers;
@@ -46,22 +46,23 @@
 
 KeyPair makeKeyPair();
 
-/// Returns the public half of a secret key of 64 bytes.
+/// Returns the public key of a 64-byte secret key.
 std::string publicKeyOf(std::string_view secret);
 
 /// Signs the document in a role.
 void sign(SignedBundle &bundle, Role role, std::string_view secret);
 
-/// Checks both signatures, that they are of different trusted keys, and the
-/// document itself.
+/// Verifies both signatures, checks that they are by different trusted keys,
+/// and parses the document.
 base::Result<Bundle> verify(const SignedBundle &bundle,
                             const TrustedKeys &trusted);
 
-/// Writes and reads the file and key-value form of a signed bundle.
+/// Serialises and parses a signed bundle, as files and the key-value service
+/// store it.
 std::string serialise(const SignedBundle &bundle);
 base::Result<SignedBundle> parseSignedBundle(std::string_view json);
 
-/// Reads hexadecimal public keys separated by commas.
+/// Parses hexadecimal public keys separated by commas.
 base::Result<std::vector<std::string>> parseKeys(std::string_view flag,
                                                  std::string_view list);
 
--- a/include/drumlanding/entry/core.h
+++ b/include/drumlanding/entry/core.h
@@ -1,9 +1,9 @@
-/// Entry core: takes callers' requests, chooses backend servers and delivers
-/// answers. Deterministic, without I/O or threads: events and the time go in,
-/// commands come out.
+/// Entry core: accepts callers' requests, chooses backend servers and delivers
+/// answers. It is deterministic and does no I/O: `handle` maps an event and the
+/// current time to commands for the shell.
 ///
 ///   Core core(options);
-///   for (const Command &c : core.handle(now, GenerationAsked{...}))
+///   for (const Command &c : core.handle(now, GenerationRequested{...}))
 ///     execute(c);
 #pragma once
 
@@ -29,14 +29,14 @@
 
 namespace drumlanding::entry {
 
-/// Names a caller's connection and its one request.
+/// Identifies a caller's connection and the one request on it.
 using SessionId = std::uint64_t;
-/// Names a message to a peer that waits for its reply.
+/// Identifies a message to a peer that awaits a reply.
 using MessageId = std::uint64_t;
 
 // Events.
 
-/// A caller asks for a generation.
+/// A caller requested a generation.
 struct GenerationRequested {
   SessionId Session = 0;
   std::string Credential;
@@ -46,10 +46,10 @@
   std::string Adapter;
   std::string Prompt;
   std::uint32_t MaxTokens = 0;
-  /// False when the caller wants it tried at most once.
+  /// False when the caller wants at most one attempt to run.
   bool Repeatable = true;
 };
-/// A caller comes back for a stream, with the index of its next token.
+/// A caller reconnected to a stream; gives the index of its next token.
 struct ResumeRequested {
   SessionId Session = 0;
   std::string Credential;
@@ -61,7 +61,7 @@
   std::string Credential;
   std::string RequestId;
 };
-/// A caller calls a plain service.
+/// A caller called a plain service.
 struct CallRequested {
   SessionId Session = 0;
   std::string Credential;
@@ -70,7 +70,7 @@
   std::string Path;
   std::string Body;
   bool Repeatable = false;
-  /// Calls that may not be repeated: the caller's key and the time in it.
+  /// For calls that are not repeatable: the idempotency key and its timestamp.
   std::string Key;
   base::WallTime KeyTime{};
 };
@@ -81,12 +81,12 @@
   MessageId Message = 0;
   base::Result<wire::Reply> Reply;
 };
-/// A message from another entry.
+/// Another entry sent a request.
 struct PeerRequestArrived {
   std::uint64_t ReplyId = 0;
   wire::Request Message;
 };
-/// One VM of the platform's list.
+/// One VM in the platform's list.
 struct ListedVm {
   std::string Name;
   /// "entry" or "agent".
@@ -99,7 +99,7 @@
 struct VmsListed {
   std::vector<ListedVm> Vms;
 };
-/// A document came from the platform's key-value service.
+/// A document was read from the platform's key-value service.
 struct DocumentRead {
   wire::DocumentKind Kind = wire::BUNDLE;
   std::string Body;
@@ -125,7 +125,7 @@
   std::uint64_t ReplyId = 0;
   wire::Reply Message;
 };
-/// The stream begins: its id can be used to resume it.
+/// Begins the stream; `RequestId` can be used to resume it.
 struct BeginStream {
   SessionId Session = 0;
   std::string RequestId;
@@ -135,22 +135,22 @@
   std::uint32_t FirstIndex = 0;
   std::vector<std::string> Tokens;
 };
-/// The stream ends: whole, or with the reason why not.
+/// Ends the stream: complete, or with the failure that interrupted it.
 struct EndStream {
   SessionId Session = 0;
   std::optional<base::Refusal> Failure;
 };
-/// The final answer to a request that got nothing.
+/// Refuses a request before its stream began.
 struct RefuseSession {
   SessionId Session = 0;
   base::Refusal Why;
 };
-/// The final answer of a plain service, or of a cancel (status 204).
+/// Delivers the answer of a plain service, or confirms a cancel (status 204).
 struct AnswerSession {
   SessionId Session = 0;
   wire::CallReply Answer;
 };
-/// Links to peers that are gone can be closed.
+/// Closes the link to a removed peer.
 struct DisconnectPeer {
   std::string Peer;
 };
@@ -160,7 +160,8 @@
                  EndStream, RefuseSession, AnswerSession, DisconnectPeer>;
 using Commands = std::vector<Command>;
 
-/// Switches for the proofs; see agent::Mechanisms. All are on in the programs.
+/// Switches that let tests show what each mechanism prevents; see
+/// agent::Mechanisms. The programs enable all of them.
 struct Mechanisms {
   bool ResolveLostReplies = true;
   bool DropDuplicateTokens = true;
@@ -174,7 +175,8 @@
   bundle::TrustedKeys Trusted;
   RouterOptions Routing;
   std::uint64_t Seed = 1;
-  /// Most servers of one service that this entry reports with and routes to.
+  /// Maximum number of servers of one service that this entry exchanges reports
+  /// with and routes to.
   std::size_t SubsetSize = 16;
   Mechanisms On;
   std::function<void(std::string_view component, std::string_view message)>
@@ -182,7 +184,7 @@
   std::function<void(std::string_view metric, std::string_view label,
                      std::string_view value, double by)>
       Count;
-  /// Notes a time for a histogram.
+  /// Records a duration in a histogram.
   std::function<void(std::string_view metric, base::Duration time)> Observe;
 };
 
@@ -203,11 +205,10 @@
 
 private:
   enum class Phase {
-    Starting,           ///< A Start or Call is on its way.
-    ResolvingLostReply, ///< Its reply was lost: a Revoke asks what became of
-                        ///< it.
-    Backoff,            ///< Waits for a document to arrive at the other side.
-    Attaching,          ///< Asks for a running generation.
+    Starting,           ///< A Start or Call awaits its reply.
+    ResolvingLostReply, ///< Its reply was lost; a Revoke awaits the outcome.
+    Backoff,            ///< Waits for a newer document or an incarnation.
+    Attaching,          ///< An Attach to a running generation awaits its reply.
     Streaming,
     Cancelling,
   };
@@ -216,20 +217,21 @@
     SessionId Id = 0;
     Phase State = Phase::Starting;
     std::string Organisation;
-    /// The request as asked; one of the two is set.
+    /// The original request of a new generation or call. At most one is set.
     std::optional<GenerationRequested> Generation;
     std::optional<CallRequested> Call;
-    /// The attempt in progress.
+    /// The current attempt.
     std::string RequestId;
     std::string AttemptId;
     std::string Server;
     std::vector<std::string> TriedServers;
-    /// The incarnation that the attempt was meant for.
+    /// The incarnation that the attempt was sent to.
     std::uint64_t Incarnation = 0;
     int AttemptCount = 0;
     int BackoffCount = 0;
     int RevokeCount = 0;
-    /// An attempt may have run: the last word can no longer be "not run".
+    /// True when an earlier attempt may have run, so that the final verdict
+    /// cannot be "not run".
     bool MayHaveRun = false;
     bool HasBegun = false;
     std::uint32_t NextIndex = 0;
@@ -252,15 +254,15 @@
   };
   struct SentMessage {
     MessageKind Kind = MessageKind::Sync;
-    /// 0 for messages that belong to no session.
+    /// 0 when the message belongs to no session.
     SessionId Session = 0;
     std::string Peer = {};
-    /// The attempt it belongs to; a reply to an earlier one is dropped.
+    /// The attempt it belongs to; replies for earlier attempts are dropped.
     std::string AttemptId = {};
     wire::DocumentKind Document = wire::BUNDLE;
   };
 
-  /// The long poll to one agent and the streams followed there.
+  /// The long poll to one agent and the streams that it follows.
   struct AgentPoll {
     std::map<std::string, SessionId> Streams;
     MessageId PollId = 0;
@@ -323,12 +325,15 @@
                     const wire::StreamPart &part);
   void onDocumentReply(base::Now now, const SentMessage &sent,
                        const base::Result<wire::Reply> &r);
+  /// Fetches or pushes a document when a peer's version differs from ours.
   void reconcileVersions(base::Now now, const std::string &peer,
                          const wire::Versions &theirs);
 
   void poll(base::Now now, const std::string &server);
   void pollAll(base::Now now);
   void syncAll(base::Now now);
+  /// Fails sessions past their deadline and retries those whose backoff is
+  /// over.
   void checkSessions(base::Now now);
   void applyDocument(base::Now now, const wire::Document &document,
                      std::string_view from);
--- a/include/drumlanding/entry/limits.h
+++ b/include/drumlanding/entry/limits.h
@@ -1,8 +1,8 @@
-/// Limits: how much one organisation may ask for at one entry, and how many
-/// retries the entry may add to its callers' requests.
+/// Limits on open requests and request rate per organisation at one entry, and
+/// on retries by the entry.
 ///
 ///   if (!limits.tryOpen(now, organisation)) refuse(OrganisationLimit);
-///   if (!budget.tryRetry()) giveUp();
+///   if (!budget.tryRetry()) fail();
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -14,11 +14,11 @@
 
 namespace drumlanding::entry {
 
-/// Allows retries as a part of first attempts, so that faults never multiply
-/// the load (a token bucket).
+/// Limits retries to a fraction of first attempts (a token bucket), so that
+/// retries during a fault do not multiply the load.
 class RetryBudget {
 public:
-  /// `part` retries for each first attempt; at most `burst` saved up.
+  /// Allows `ratio` retries per first attempt and a burst of `burst` retries.
   RetryBudget(double ratio, double burst)
       : Ratio(ratio), Burst(burst), Balance(burst) {}
   void recordFirstAttempt();
@@ -30,14 +30,14 @@
   double Balance;
 };
 
-/// Counts the open requests and the rate of each organisation.
+/// Enforces each organisation's limits on open requests and request rate.
 class OrganisationLimits {
 public:
-  /// Takes a place for a request; false when the contract's limit is reached.
+  /// Counts a request as open; returns false when a contract limit is reached.
   bool tryOpen(base::Instant now, const bundle::Organisation &organisation);
   void close(std::string_view organisation);
 
-  /// Returns when a request would be allowed again by the rate.
+  /// Returns the wait after which the rate limit allows another request.
   base::milliseconds retryAfter(const bundle::Organisation &o) const;
 
 private:
--- a/include/drumlanding/entry/members.h
+++ b/include/drumlanding/entry/members.h
@@ -1,5 +1,5 @@
-/// Members: the peers an entry knows, from the platform's lagging list and,
-/// above all, from their own reports.
+/// Membership: the peers of an entry, from the platform's list and from their
+/// own reports. The list lags, so recent reports take precedence.
 ///
 ///   members.applyList(now, vms);
 ///   for (const Member *m : members.ofService("tutor-llm")) ...
@@ -16,11 +16,11 @@
 
 namespace drumlanding::entry {
 
-/// One peer. What a report has not said yet is zero.
+/// One peer. Fields that no report has set yet are zero.
 struct Member {
   ListedVm Vm;
   std::uint64_t NameHash = 0;
-  /// This entry reports with it and routes to it.
+  /// True when this entry exchanges reports with it and routes to it.
   bool InSubset = false;
   std::uint64_t Incarnation = 0;
   wire::Report Report;
@@ -29,38 +29,38 @@
   base::Instant NextSyncAt{};
   bool SyncPending = false;
   bool DocumentPending = false;
-  /// Its last difference did not fit.
+  /// The last delta received from it did not apply.
   bool NeedsFullDocument = false;
-  /// Version of the bundle last pushed to it.
+  /// Version of the bundle last pushed to it, in full or as a delta.
   std::uint64_t PushedBundleVersion = 0;
   std::uint32_t SentSinceReport = 0;
   double DistanceMs = 0;
 
   bool isAgent() const { return Vm.Role == "agent"; }
-  /// True when new work may go there.
+  /// Returns true when new work may be sent to it.
   bool isUsable(base::Instant now) const;
 };
 
-/// Without a report for this long, a peer gets no new work. Its streams go on:
-/// a stalled link is no dead VM.
+/// A peer without a report for this long gets no new work. Its streams
+/// continue, because a stalled link does not mean that the VM has failed.
 inline constexpr base::milliseconds SuspectAfter{2'500};
 
 class Members {
 public:
   explicit Members(std::string self, std::size_t subsetSize);
 
-  /// Takes the platform's list; returns the names that are gone.
+  /// Applies the platform's list; returns the names of removed peers.
   std::vector<std::string> applyList(base::Instant now,
                                      const std::vector<ListedVm> &vms,
                                      std::string_view place);
-  /// Sets the distances from this entry's place.
+  /// Sets each peer's distance from this entry's place.
   void updateDistances(const bundle::Bundle &bundle, std::string_view place);
 
   Member *find(std::string_view name);
   const Member *find(std::string_view name) const;
-  /// The servers of a service that this entry routes to.
+  /// Returns the servers of a service that this entry routes to.
   const std::vector<Member *> &ofService(std::string_view service) const;
-  /// All peers that this entry exchanges reports with.
+  /// Returns all peers that this entry exchanges reports with.
   const std::vector<Member *> &subset() const { return Subset; }
   std::size_t size() const { return All.size(); }
 
--- a/include/drumlanding/entry/router.h
+++ b/include/drumlanding/entry/router.h
@@ -1,12 +1,13 @@
-/// Router: which backend server gets a request.
+/// Router: chooses the backend server for a request.
 ///
 ///   Router router(options);
 ///   auto at = router.choose(views, {prefixHash, 600}, now, random);
 ///
-/// A request goes to the server that is likely to hold its prefix, unless that
-/// one is clearly busier than the rest; then to the least loaded of a few
-/// drawn at random (power of d choices). Reports lag, so the entry adds what it
-/// has sent since, and takes the average for a server it has not heard of.
+/// A request goes to the server that is likely to have its prefix cached,
+/// unless that one is clearly busier than the average; then to the one of
+/// lowest cost among a few drawn at random (power of d choices). Reports lag,
+/// so the entry adds the requests it has sent since the report, and assumes the
+/// average load for a server without a recent report.
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -25,22 +26,23 @@
 struct ServerView {
   /// base::hash64 of the server's name.
   std::uint64_t NameHash = 0;
-  /// False for one that is leaving, suspect, or was tried already.
+  /// False for a server that is leaving, suspect, lacks the requested model, or
+  /// was already tried.
   bool IsUsable = true;
-  /// One way, from this entry, in milliseconds.
+  /// One-way network delay from this entry.
   double DistanceMs = 0;
   std::uint64_t UsedTokens = 0;
   std::uint64_t CapacityTokens = 0;
   std::uint32_t Waiting = 0;
   base::Instant ReportedAt{};
-  /// Requests that this entry sent it since the report.
+  /// Requests that this entry has sent to it since the report.
   std::uint32_t SentSinceReport = 0;
 };
 
 struct RouteQuery {
-  /// Hash of the prompt's beginning and the model; 0 for no affinity.
+  /// Hash of the prompt's prefix, the model and the adapter; 0 for no affinity.
   std::uint64_t PrefixHash = 0;
-  /// What a request is expected to occupy, in tokens.
+  /// Expected prompt and output length, in tokens.
   double RequestTokens = 600;
 };
 
@@ -54,11 +56,11 @@
   RoutingPolicy Policy = RoutingPolicy::Balanced;
   /// Servers drawn at random.
   int Choices = 3;
-  /// An affine server may be this much above the average load.
+  /// How far the affine server's cost may exceed the average load.
   double AffinitySlack = 0.15;
-  /// A millisecond of distance weighs as much as this part of a server's load.
+  /// Cost of one millisecond of distance, as a fraction of a server's capacity.
   double LoadPerMs = 0.01;
-  /// An older report is not believed.
+  /// Reports older than this are ignored.
   base::milliseconds StaleAfter{3'000};
 };
 
@@ -66,7 +68,7 @@
 public:
   explicit Router(RouterOptions options) : Options(options) {}
 
-  /// Returns the index of the chosen view; none when no server is usable.
+  /// Returns the index of the chosen view, or nullopt when no server is usable.
   std::optional<std::size_t> choose(std::span<const ServerView> views,
                                     const RouteQuery &query, base::Instant now,
                                     base::Random &random) const;
--- a/include/drumlanding/plan/document-store.h
+++ b/include/drumlanding/plan/document-store.h
@@ -1,9 +1,10 @@
-/// Document store: the bundle and plan in force in one process. A version
-/// never goes down, whoever offers it. Between peers a changed bundle travels
-/// as its difference (RFC 6902), and is checked by its signatures as a whole.
+/// Document store: the current bundle and plan of one process. The version of a
+/// document never decreases, whatever its source. Peers exchange a changed
+/// bundle as a delta (JSON Patch, RFC 6902); the signatures of the patched
+/// bundle are verified.
 ///
 ///   DocumentStore store(trusted);
-///   Offer r = store.offer(now, wire::BUNDLE, bytes);
+///   OfferResult r = store.offer(now, wire::BUNDLE, bytes);
 #pragma once
 
 #include "control.pb.h"
@@ -18,34 +19,35 @@
 
 namespace drumlanding::plan {
 
-/// What became of an offered document.
+/// Result of offering a document.
 enum class OfferResult {
-  Taken,   ///< It is in force now.
-  Known,   ///< It is the one in force.
-  Older,   ///< A newer one is in force.
-  Invalid, ///< It is malformed or not signed by the right keys.
+  Taken,   ///< It is now the current document.
+  Known,   ///< The current document has the same version.
+  Older,   ///< The current document is newer.
+  Invalid, ///< It is malformed or lacks a trusted signature.
 };
 
-/// Not thread-safe; it belongs to a core.
+/// Not thread-safe; owned by a core.
 class DocumentStore {
 public:
   explicit DocumentStore(bundle::TrustedKeys trusted);
 
-  /// Checks a document and takes it when it is newer than the one in force.
-  /// `why` receives the reason when it is refused.
+  /// Validates a document and applies it when it is newer than the current one.
+  /// `why` receives the reason when it is invalid.
   OfferResult offer(base::WallTime now, wire::DocumentKind kind,
                     std::string_view body, std::string *why = nullptr);
 
-  /// Packs a document for a peer that has `base`: the difference where the
-  /// store still knows that version and it is smaller, else the whole.
+  /// Packs a document for a peer that has version `base`: as a delta when the
+  /// store still has that version and the delta is less than half the size of
+  /// the document, otherwise in full.
   wire::Document pack(wire::DocumentKind kind, std::uint64_t base) const;
 
-  /// Takes what `pack` made. A difference that does not fit is Offer::Invalid;
-  /// ask for the whole then.
+  /// Offers a document from `pack`. Returns Invalid for a delta that does not
+  /// apply; the caller then requests the full document.
   OfferResult offerPacked(base::WallTime now, const wire::Document &document,
                           std::string *why = nullptr);
 
-  /// The documents in force; null until the first is taken.
+  /// The current documents; null until the first is applied.
   std::shared_ptr<const bundle::Bundle> bundle() const { return CurrentBundle; }
   std::shared_ptr<const Plan> plan() const { return CurrentPlan; }
 
@@ -62,7 +64,7 @@
   std::string BundleBody;
   std::string PlanBody;
   wire::Versions Versions;
-  /// The texts of the bundles before, newest last, to make differences from.
+  /// Recent bundles as the bases of deltas, the current one last.
   struct PastBundle {
     std::uint64_t Version = 0;
     std::string Text;
--- a/include/drumlanding/plan/plan.h
+++ b/include/drumlanding/plan/plan.h
@@ -1,6 +1,6 @@
-/// Plan: which backend server holds which models, versions and adapters. One
-/// document, written by compare-and-swap; its version is the fence of every
-/// order to an engine.
+/// Plan: the models, versions and adapters that each backend server loads. The
+/// plan is one document, written by compare-and-swap; its version is the
+/// fencing token of every order to an engine.
 ///
 ///   Plan next = makePlan(bundle, servers, current);
 #pragma once
@@ -16,7 +16,7 @@
 
 namespace drumlanding::plan {
 
-/// A model as an engine holds it.
+/// A model version with its adapters, as loaded by an engine.
 struct LoadedModel {
   std::string Model;
   std::string Version;
@@ -24,7 +24,7 @@
   bool operator==(const LoadedModel &) const = default;
 };
 
-/// What one backend server must hold.
+/// The models that one backend server must load.
 struct Assignment {
   std::string Server;
   std::vector<LoadedModel> Models;
@@ -34,11 +34,11 @@
 struct Plan {
   std::uint64_t Version = 0;
   std::uint64_t BundleVersion = 0;
-  /// Who wrote it, and a number drawn for this write: a writer whose answer
-  /// was lost finds out by reading whether the swap was its own.
+  /// The entry that wrote the plan, and a random number for this write. They
+  /// let a writer whose answer was lost read whether its own swap succeeded.
   std::string Author;
   std::uint64_t Nonce = 0;
-  /// In the order of their servers' names.
+  /// Sorted by server name.
   std::vector<Assignment> Assignments;
 
   const Assignment *assignment(std::string_view server) const;
@@ -51,8 +51,8 @@
   bool Leaving = false;
 };
 
-/// Returns the next plan: with as few moves as the bundle allows, and with at
-/// most `mostMoves` loaded servers changed, so that the others serve on.
+/// Returns the next plan. It changes the models of at most `maxChanges` servers
+/// that already have an assignment, so that the others continue to serve.
 /// Returns `current` with the same version when nothing has to change.
 Plan makePlan(const bundle::Bundle &bundle,
               std::span<const PlannedServer> servers, const Plan &current,
--- a/src/bundle/bundle-delta.cc
+++ b/src/bundle/bundle-delta.cc
@@ -30,7 +30,8 @@
     return {};
   const Json patch = Json::diff(parse(value(oldBundle).Document),
                                 parse(value(newBundle).Document));
-  // The signatures travel as they are, in a signed bundle without its text.
+  // The new signatures are sent unchanged, in a signed bundle with an empty
+  // document.
   SignedBundle signatures = value(newBundle);
   signatures.Document.clear();
   Json delta = parse(serialise(signatures));
@@ -48,7 +49,7 @@
     return error(newBundle);
   const Json patch = parse(delta)["patch"];
   Json document = parse(value(oldBundle).Document);
-  // The library throws on a patch that does not fit.
+  // The library throws when a patch does not apply.
   try {
     document.patch_inplace(patch);
   } catch (const Json::exception &e) {
--- a/src/bundle/bundle.cc
+++ b/src/bundle/bundle.cc
@@ -16,6 +16,7 @@
 
 constexpr std::size_t CredentialHashDigits = 64;
 constexpr double DefaultOneWayMs = 50;
+/// JSON numbers are read as doubles, which are exact up to 2^53 (9.007e15).
 constexpr double MaxVersion = 9e15;
 
 template <typename T>
@@ -43,7 +44,7 @@
   r.allowOnly({"name", "versions", "adapters"});
   Model model{r.name("name"), r.names("versions"), r.names("adapters")};
   if (model.Versions.empty())
-    r.fail(r.pathOf("versions"), "at least one version is needed");
+    r.fail(r.pathOf("versions"), "expected at least one version");
   return model;
 }
 
@@ -53,7 +54,7 @@
   service.Name = r.name("name");
   const std::string kind = r.text("kind");
   if (kind != "engine" && kind != "plain")
-    r.fail(r.pathOf("kind"), "'engine' or 'plain' is expected");
+    r.fail(r.pathOf("kind"), "expected 'engine' or 'plain'");
   service.Kind = kind == "engine" ? ServiceKind::Engine : ServiceKind::Plain;
   service.Servers = r.names("servers");
   if (service.Kind == ServiceKind::Engine)
@@ -85,7 +86,7 @@
                  readContract(r.object("contract"))};
   if (!ok(base::parseHex("", o.CredentialHash, CredentialHashDigits / 2)))
     r.fail(r.pathOf("credentialHash"),
-           "64 hexadecimal digits are expected (drumlandingctl credential)");
+           "expected 64 hexadecimal digits (from drumlandingctl credential)");
   return o;
 }
 
@@ -101,7 +102,7 @@
   return l;
 }
 
-/// Fails when two elements of a list have the same name.
+/// Fails when two elements of an array have the same name.
 template <typename T>
 void checkUnique(const JsonReader &r, std::string_view list,
                  const std::vector<T> &all) {
@@ -109,10 +110,10 @@
   for (std::size_t i = 0; i < all.size(); ++i)
     if (!seen.insert(all[i].Name).second)
       r.fail(std::string(list) + "[" + std::to_string(i) + "].name",
-             "'" + all[i].Name + "' is there twice");
+             "'" + all[i].Name + "' occurs twice");
 }
 
-/// Fails at `path` when a name is not in the list it must come from.
+/// Fails at `path` when a name refers to no element of `all`.
 template <typename T>
 void checkKnown(const JsonReader &r, const std::string &path,
                 const std::vector<std::string> &names,
@@ -129,11 +130,11 @@
     for (const std::string &server : b.Services[i].Servers)
       if (!seen.insert(server).second)
         r.fail("services[" + std::to_string(i) + "].servers",
-               "'" + server + "' is there twice");
+               "'" + server + "' occurs twice");
   for (std::size_t i = 0; i < b.Drain.size(); ++i)
     if (!seen.contains(b.Drain[i]))
       r.fail("drain[" + std::to_string(i) + "]",
-             "'" + b.Drain[i] + "' is no backend server of the bundle");
+             "'" + b.Drain[i] + "' is not a backend server in the bundle");
 }
 
 void checkReferences(const JsonReader &r, const Bundle &b) {
@@ -157,7 +158,8 @@
     checkKnown(r, path + ".contract.models", o.Contract.Models, b.Models);
     checkKnown(r, path + ".contract.services", o.Contract.Services, b.Services);
     if (!hashes.insert(o.CredentialHash).second)
-      r.fail(path + ".credentialHash", "another organisation has the same");
+      r.fail(path + ".credentialHash",
+             "another organisation has the same credential");
   }
 }
 
@@ -183,8 +185,8 @@
   return b;
 }
 
-/// Returns the members of a list keyed by name where they have one, so that a
-/// moved element is no difference.
+/// Converts arrays of named objects to objects keyed by name, so that a changed
+/// order is not reported as a difference.
 Json keyedByName(const Json &json) {
   if (json.is_object()) {
     Json keyed = Json::object();
@@ -262,7 +264,7 @@
   if (document.is_discarded())
     return base::invalid("bundle", "is not valid JSON");
   if (!document.is_object())
-    return base::invalid("bundle", "an object is expected");
+    return base::invalid("bundle", "expected an object");
   std::optional<Error> failure;
   const JsonReader reader(document, "", failure);
   Bundle bundle = readBundle(reader);
--- a/src/bundle/json-reader.cc
+++ b/src/bundle/json-reader.cc
@@ -10,16 +10,16 @@
 
 const nlohmann::json EmptyObject = nlohmann::json::object();
 
-std::string_view expectedType(nlohmann::json::value_t type) {
+std::string_view expectedTypeMessage(nlohmann::json::value_t type) {
   switch (type) {
   case nlohmann::json::value_t::string:
-    return "a text is expected";
+    return "expected a string";
   case nlohmann::json::value_t::array:
-    return "a list is expected";
+    return "expected an array";
   case nlohmann::json::value_t::object:
-    return "an object is expected";
+    return "expected an object";
   default:
-    return "another type is expected";
+    return "expected another type";
   }
 }
 
@@ -44,7 +44,7 @@
   }
   if (it->type() == type)
     return &*it;
-  fail(pathOf(key), std::string(expectedType(type)));
+  fail(pathOf(key), std::string(expectedTypeMessage(type)));
   return nullptr;
 }
 
@@ -71,15 +71,15 @@
                        it->get<double>() <= range.Max;
   if (inRange)
     return it->get<double>();
-  fail(pathOf(key), "a number from " + Json(range.Min).dump() + " to " +
-                        Json(range.Max).dump() + " is expected");
+  fail(pathOf(key), "expected a number from " + Json(range.Min).dump() +
+                        " to " + Json(range.Max).dump());
   return range.Min;
 }
 
 std::int64_t JsonReader::integer(std::string_view key, Range range) const {
   const double found = number(key, range);
   if (std::floor(found) != found)
-    fail(pathOf(key), "a whole number is expected");
+    fail(pathOf(key), "expected an integer");
   return static_cast<std::int64_t>(found);
 }
 
@@ -89,7 +89,7 @@
   for (std::size_t i = 0; array && i < array->size(); ++i) {
     const std::string path = pathOf(key) + "[" + std::to_string(i) + "]";
     if (!(*array)[i].is_string()) {
-      fail(path, "a text is expected");
+      fail(path, "expected a string");
       return found;
     }
     found.push_back((*array)[i].get<std::string>());
@@ -108,7 +108,7 @@
     std::initializer_list<std::string_view> known) const {
   for (const auto &[key, ignored] : Value.items())
     if (std::find(known.begin(), known.end(), key) == known.end())
-      fail(pathOf(key), "is not known");
+      fail(pathOf(key), "is not a known field");
 }
 
 } // namespace drumlanding::bundle
--- a/src/bundle/json-reader.h
+++ b/src/bundle/json-reader.h
@@ -1,5 +1,5 @@
-/// Reads checked values out of a JSON document; the first error is kept with
-/// its path.
+/// Reads validated values from a JSON document. Keeps the first error, with its
+/// path.
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -12,7 +12,7 @@
 
 namespace drumlanding::bundle {
 
-/// The least and most that a number may be.
+/// The inclusive range of a number.
 struct Range {
   double Min = 0;
   double Max = 0;
@@ -26,10 +26,10 @@
       : Value(json), Path(std::move(path)), Failure(e) {}
 
   std::string text(std::string_view key) const;
-  /// Text that is a name; see base::checkName.
+  /// Returns a string that is a valid name; see base::checkName.
   std::string name(std::string_view key) const;
   double number(std::string_view key, Range range) const;
-  /// As `number`, whole.
+  /// Like `number`, but requires an integer.
   std::int64_t integer(std::string_view key, Range range) const;
   std::vector<std::string> names(std::string_view key) const;
 
@@ -39,7 +39,7 @@
     for (std::size_t i = 0; array && i < array->size(); ++i) {
       const std::string path = pathOf(key) + "[" + std::to_string(i) + "]";
       if (!(*array)[i].is_object()) {
-        fail(path, "an object is expected");
+        fail(path, "expected an object");
         return;
       }
       each(JsonReader((*array)[i], path, Failure));
@@ -48,8 +48,8 @@
   JsonReader object(std::string_view key) const;
 
   bool has(std::string_view key) const { return Value.contains(key); }
-  /// Fails on a member that is not in `known`, since a misspelt one would be
-  /// ignored.
+  /// Fails on a key that is not in `known`, because a misspelt key would
+  /// otherwise be ignored.
   void allowOnly(std::initializer_list<std::string_view> known) const;
   void fail(const std::string &path, const std::string &message) const;
   std::string pathOf(std::string_view key) const;
--- a/src/bundle/signature.cc
+++ b/src/bundle/signature.cc
@@ -22,8 +22,8 @@
   return reinterpret_cast<const unsigned char *>(s.data());
 }
 
-/// What is signed: the role is part of it, so that one signature can never
-/// serve as the other.
+/// Returns the text that is signed. It includes the role, so that a signature
+/// in one role is never valid in the other.
 std::string signedText(Role role, std::string_view document) {
   return "drumlanding bundle 1 " + std::string(roleName(role)) + "\n" +
          std::string(document);
@@ -42,7 +42,7 @@
   if (signature.Key.empty())
     return fail("is missing");
   if (std::find(trusted.begin(), trusted.end(), signature.Key) == trusted.end())
-    return fail("the key is not in the settings");
+    return fail("the key is not among the trusted keys in the settings");
   const std::string text = signedText(role, bundle.Document);
   if (signature.Bytes.size() != crypto_sign_BYTES ||
       crypto_sign_verify_detached(raw(signature.Bytes), raw(text), text.size(),
@@ -63,7 +63,7 @@
   const Json &s = signatures[name];
   if (!s.is_object() || !s.contains("key") || !s.contains("signature") ||
       !s["key"].is_string() || !s["signature"].is_string())
-    return base::invalid(where, "'key' and 'signature' are expected");
+    return base::invalid(where, "expected the strings 'key' and 'signature'");
   const auto key = base::parseHex(where + ".key", s["key"].get<std::string>(),
                                   crypto_sign_PUBLICKEYBYTES);
   if (!ok(key))
@@ -114,7 +114,7 @@
     return base::error(r);
   if (bundle.Author.Key == bundle.Approver.Key)
     return Error{ErrorCode::Forbidden, "signatures.approver",
-                 "the author cannot sign off the bundle"};
+                 "the approver's key must differ from the author's key"};
   return parseBundle(bundle.Document);
 }
 
@@ -132,11 +132,11 @@
 Result<SignedBundle> parseSignedBundle(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object())
-    return base::invalid("signed bundle", "is not a JSON object");
+    return base::invalid("signed bundle", "expected a JSON object");
   if (!json.contains("document") || !json["document"].is_string())
-    return base::invalid("document", "a text is expected");
+    return base::invalid("document", "expected a string");
   if (!json.contains("signatures") || !json["signatures"].is_object())
-    return base::invalid("signatures", "an object is expected");
+    return base::invalid("signatures", "expected an object");
   const auto author = readSignature(json["signatures"], Role::Author);
   if (!ok(author))
     return base::error(author);
@@ -157,7 +157,7 @@
     keys.push_back(std::move(base::value(key)));
   }
   if (keys.empty())
-    return base::invalid(std::string(flag), "at least one key is needed");
+    return base::invalid(std::string(flag), "expected at least one key");
   return keys;
 }
 
--- a/src/entry/api.cc
+++ b/src/entry/api.cc
@@ -24,7 +24,8 @@
                                     : std::string();
 }
 
-/// Reads an optional member of the wanted type; fails on another type.
+/// Returns an optional member, or `defaultValue` when it is absent; an error
+/// when it has another type.
 template <typename T>
 Result<T> member(const Json &json, const char *key, T defaultValue,
                  bool (Json::*isType)() const noexcept, const char *type) {
@@ -32,107 +33,107 @@
   if (it == json.end())
     return defaultValue;
   if (!((*it).*isType)())
-    return base::invalid(key, std::string(type) + " is expected");
+    return base::invalid(key, "expected " + std::string(type));
   return it->template get<T>();
 }
 
 Result<CallerRequest> readGeneration(const http::Request &request) {
   const Json json = Json::parse(request.Body, nullptr, false);
   if (!json.is_object())
-    return base::invalid("body", "a JSON object is expected");
+    return base::invalid("body", "expected a JSON object");
   for (const auto &[key, ignored] : json.items())
     if (key != "model" && key != "version" && key != "adapter" &&
         key != "prompt" && key != "maxTokens" && key != "stream" &&
         key != "repeatable")
-      return base::invalid(key, "is not known");
+      return base::invalid(key, "is not a known field");
   const std::string none;
   const auto text = [&](const char *key) {
-    return member<std::string>(json, key, none, &Json::is_string, "a text");
+    return member<std::string>(json, key, none, &Json::is_string, "a string");
   };
   const auto flag = [&](const char *key) {
     return member<bool>(json, key, true, &Json::is_boolean, "true or false");
   };
   ParsedGeneration parsed;
-  GenerationRequested &asked = parsed.Request;
-  for (const auto &[key, target] :
-       {std::pair("model", &asked.Model), std::pair("version", &asked.Version),
-        std::pair("adapter", &asked.Adapter),
-        std::pair("prompt", &asked.Prompt)}) {
+  GenerationRequested &generation = parsed.Request;
+  for (const auto &[key, target] : {std::pair("model", &generation.Model),
+                                    std::pair("version", &generation.Version),
+                                    std::pair("adapter", &generation.Adapter),
+                                    std::pair("prompt", &generation.Prompt)}) {
     const auto r = text(key);
     if (!ok(r))
       return error(r);
     *target = value(r);
   }
-  if (asked.Model.empty() || asked.Prompt.empty())
-    return base::invalid(asked.Model.empty() ? "model" : "prompt",
+  if (generation.Model.empty() || generation.Prompt.empty())
+    return base::invalid(generation.Model.empty() ? "model" : "prompt",
                          "is missing");
   const auto stream = flag("stream");
   const auto repeatable = flag("repeatable");
   if (!ok(stream) || !ok(repeatable))
     return ok(stream) ? error(repeatable) : error(stream);
   parsed.Stream = value(stream);
-  asked.Repeatable = value(repeatable);
-  const auto maxTokens = member<std::uint32_t>(
-      json, "maxTokens", DefaultMaxTokens, &Json::is_number_unsigned,
-      "a whole number above 0");
+  generation.Repeatable = value(repeatable);
+  const auto maxTokens =
+      member<std::uint32_t>(json, "maxTokens", DefaultMaxTokens,
+                            &Json::is_number_unsigned, "a positive integer");
   if (!ok(maxTokens))
     return error(maxTokens);
   if (value(maxTokens) == 0)
-    return base::invalid("maxTokens", "a whole number above 0 is expected");
-  asked.MaxTokens = value(maxTokens);
-  asked.Credential = credentialOf(request);
+    return base::invalid("maxTokens", "expected a positive integer");
+  generation.MaxTokens = value(maxTokens);
+  generation.Credential = credentialOf(request);
   return parsed;
 }
 
 Result<CallerRequest> readResume(const http::Request &request,
                                  std::string_view id) {
-  ResumeRequested asked;
-  asked.Credential = credentialOf(request);
-  asked.RequestId = std::string(id);
+  ResumeRequested resume;
+  resume.Credential = credentialOf(request);
+  resume.RequestId = std::string(id);
   const std::string_view last = request.header("Last-Event-ID");
   if (last.empty())
-    return asked;
+    return resume;
   std::uint32_t index = 0;
   const auto [end, ec] =
       std::from_chars(last.data(), last.data() + last.size(), index);
   if (ec != std::errc() || end != last.data() + last.size())
-    return base::invalid("Last-Event-ID", "the index of a token is expected");
-  asked.NextIndex = index + 1;
-  return asked;
+    return base::invalid("Last-Event-ID", "expected the index of a token");
+  resume.NextIndex = index + 1;
+  return resume;
 }
 
 Result<CallerRequest> readCall(const http::Request &request) {
-  CallRequested asked;
+  CallRequested call;
   std::string_view rest = request.Target;
   rest.remove_prefix(ServicesPath.size());
   const auto slash = rest.find('/');
-  asked.Service = std::string(rest.substr(0, slash));
-  asked.Path =
+  call.Service = std::string(rest.substr(0, slash));
+  call.Path =
       slash == std::string_view::npos ? "/" : std::string(rest.substr(slash));
-  asked.Credential = credentialOf(request);
-  asked.Method = request.Method;
-  asked.Body = request.Body;
+  call.Credential = credentialOf(request);
+  call.Method = request.Method;
+  call.Body = request.Body;
   const std::string_view header = request.header("Drumlanding-Repeatable");
   if (!header.empty() && header != "true" && header != "false")
-    return base::invalid("Drumlanding-Repeatable", "true or false is expected");
-  const bool isSafeMethod = asked.Method == "GET" || asked.Method == "HEAD";
-  asked.Repeatable = header.empty() ? isSafeMethod : header == "true";
-  if (asked.Repeatable)
-    return asked;
-  asked.Key = std::string(request.header(IdempotencyKeyHeader));
-  const auto time = idempotencyKeyTime(asked.Key);
+    return base::invalid("Drumlanding-Repeatable", "expected true or false");
+  const bool isSafeMethod = call.Method == "GET" || call.Method == "HEAD";
+  call.Repeatable = header.empty() ? isSafeMethod : header == "true";
+  if (call.Repeatable)
+    return call;
+  call.Key = std::string(request.header(IdempotencyKeyHeader));
+  const auto time = idempotencyKeyTime(call.Key);
   if (!ok(time))
     return error(time);
-  asked.KeyTime = value(time);
-  return asked;
+  call.KeyTime = value(time);
+  return call;
 }
 
 } // namespace
 
 Result<base::WallTime> idempotencyKeyTime(std::string_view uuid) {
-  const base::Error invalidKey = base::invalid(
-      std::string(IdempotencyKeyHeader),
-      "a call that may not be repeated needs a UUID of version 7");
+  const base::Error invalidKey =
+      base::invalid(std::string(IdempotencyKeyHeader),
+                    "a call that is not repeatable needs a version 7 UUID");
   if (uuid.size() != UuidLength)
     return invalidKey;
   std::string digits;
@@ -169,7 +170,7 @@
   }
   return base::Error{base::ErrorCode::NotFound,
                      request.Method + " " + std::string(path),
-                     "there is no such call"};
+                     "no such endpoint"};
 }
 
 std::string refusalJson(const Refusal &why, std::string_view detail) {
--- a/src/entry/api.h
+++ b/src/entry/api.h
@@ -1,5 +1,5 @@
-/// The callers' interface: reads HTTP requests into the core's events and
-/// writes refusals. docs/API.md describes it for callers.
+/// HTTP API for callers: parses requests into core events and formats refusals.
+/// docs/API.md documents it.
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -13,30 +13,30 @@
 
 namespace drumlanding::entry {
 
-/// A generation as asked, with how its answer is wanted.
+/// A requested generation and the format of its answer.
 struct ParsedGeneration {
   GenerationRequested Request;
-  /// Server-sent events; otherwise one JSON answer.
+  /// True for server-sent events, false for one JSON answer.
   bool Stream = true;
 };
 
-/// What a caller can ask for.
+/// A request that the API accepts.
 using CallerRequest = std::variant<ParsedGeneration, ResumeRequested,
                                    CancelRequested, CallRequested>;
 
-/// Reads a request; the session is not set. An error's `Where` names the place
-/// in the request.
+/// Parses a request; `Session` is left unset. An error's `Where` names the
+/// invalid field or header.
 base::Result<CallerRequest> readCallerRequest(const http::Request &request);
 
-/// Reads the time in a UUID of version 7 (RFC 9562).
+/// Returns the timestamp of an idempotency key, a version 7 UUID (RFC 9562).
 base::Result<base::WallTime> idempotencyKeyTime(std::string_view uuid);
 
-/// Returns the answer that carries a refusal. `detail` overrides the reason's
-/// own sentence.
+/// Returns the HTTP response for a refusal. `detail` replaces the reason's
+/// default message.
 http::Response refusalResponse(const base::Refusal &why,
                                std::string_view detail = {});
 
-/// Returns the JSON text of a refusal, for error events.
+/// Returns a refusal as JSON, as error events carry it.
 std::string refusalJson(const base::Refusal &why, std::string_view detail = {});
 
 } // namespace drumlanding::entry
--- a/src/entry/core-attempts.cc
+++ b/src/entry/core-attempts.cc
@@ -1,4 +1,4 @@
-// Attempts: choosing a backend server, lost replies, retries and verdicts.
+// Attempts: backend server selection, lost replies, retries and verdicts.
 #include "drumlanding/entry/core.h"
 
 #include "drumlanding/agent/core.h"
@@ -19,8 +19,8 @@
 using base::Result;
 using base::Verdict;
 
-/// A prompt's beginning of this many bytes is its prefix; shorter prompts are
-/// not worth a detour.
+/// Length of the prompt prefix used for affinity. Shorter prompts are not worth
+/// routing to a particular server.
 constexpr std::size_t PrefixBytes = 256;
 constexpr double ExpectedOutputTokens = 360;
 
@@ -31,7 +31,7 @@
                       base::hash64(e.Model + "+" + e.Adapter));
 }
 
-/// True when the report says that the server holds what is asked for.
+/// Returns true when the reported models include the requested one.
 bool reportsModel(const wire::Report &report, const GenerationRequested &e) {
   const std::string prefix = e.Model + "@" + e.Version;
   return std::any_of(report.models().begin(), report.models().end(),
@@ -49,13 +49,15 @@
                      });
 }
 
-/// The answer to a request whose reply was lost and cannot be asked for.
+/// Returns the refusal for a request whose reply was lost and whose outcome the
+/// server cannot report.
 Refusal answerLost() {
   return {Verdict::MayHaveRun, Reason::AnswerLost, RetryAfterBusy};
 }
 
-/// Reads a refusal. Another incarnation than the one that the attempt was sent
-/// to cannot know what became of an earlier copy of it.
+/// Returns the refusal in a reply. "Not run" from another incarnation than the
+/// attempt was sent to becomes "may have run": a restarted agent has no record
+/// of what the previous incarnation ran.
 Refusal refusalOf(std::uint64_t expectedIncarnation, const wire::Reply &reply) {
   if (!reply.has_refused())
     return answerLost();
@@ -71,7 +73,8 @@
 bool Core::chooseServer(base::Now now, Session &s) {
   const auto bundle = Documents.bundle();
   if (s.Call && !s.Call->Repeatable) {
-    // Only the key's owner may run it: it alone remembers.
+    // Only the key's owner may run the call: no other server records which keys
+    // have run.
     const bundle::Service *service = bundle->service(s.Call->Service);
     s.Server = service ? agent::ownerOfKey(service->Servers, s.RequestId) : "";
     const Member *owner = Peers->find(s.Server);
@@ -111,8 +114,9 @@
   return true;
 }
 
-/// Asks an owner outside the subset for its incarnation, without which a "not
-/// run" of it would prove nothing; false when there is no such owner.
+/// Requests the incarnation of a key's owner outside the subset and backs off;
+/// without it, a "not run" from that owner proves nothing. Returns false when
+/// the call has no known owner or its backoffs are used up.
 bool Core::discoverOwner(base::Now now, Session &s) {
   const bool hasOneOwner = s.Call && !s.Call->Repeatable;
   if (!hasOneOwner || !Peers->find(s.Server) || s.BackoffCount >= MaxBackoffs)
@@ -160,17 +164,17 @@
 }
 
 void Core::sendStart(base::Now now, Session &s) {
-  const GenerationRequested &asked = *s.Generation;
+  const GenerationRequested &requested = *s.Generation;
   wire::Request request;
   wire::Start &start = *request.mutable_start();
   start.set_request_id(s.RequestId);
   start.set_organisation(s.Organisation);
-  start.set_model(asked.Model);
-  start.set_version(asked.Version);
-  start.set_adapter(asked.Adapter);
-  start.set_prompt(asked.Prompt);
-  start.set_prompt_tokens(estimatePromptTokens(asked.Prompt));
-  start.set_max_tokens(asked.MaxTokens);
+  start.set_model(requested.Model);
+  start.set_version(requested.Version);
+  start.set_adapter(requested.Adapter);
+  start.set_prompt(requested.Prompt);
+  start.set_prompt_tokens(estimatePromptTokens(requested.Prompt));
+  start.set_max_tokens(requested.MaxTokens);
   start.set_incarnation(s.Incarnation);
   start.set_not_after_ms((now.Wall + StartTimeout).time_since_epoch().count());
   send(s.Server, std::move(request),
@@ -179,17 +183,17 @@
 }
 
 void Core::sendCall(base::Now now, Session &s) {
-  const CallRequested &asked = *s.Call;
+  const CallRequested &requested = *s.Call;
   wire::Request request;
   wire::Call &call = *request.mutable_call();
   call.set_request_id(s.RequestId);
   call.set_attempt(s.AttemptId);
   call.set_organisation(s.Organisation);
-  call.set_method(asked.Method);
-  call.set_path(asked.Path);
-  call.set_body(asked.Body);
-  call.set_repeatable(asked.Repeatable);
-  call.set_key_time_ms(asked.KeyTime.time_since_epoch().count());
+  call.set_method(requested.Method);
+  call.set_path(requested.Path);
+  call.set_body(requested.Body);
+  call.set_repeatable(requested.Repeatable);
+  call.set_key_time_ms(requested.KeyTime.time_since_epoch().count());
   call.set_not_after_ms((now.Wall + StartTimeout).time_since_epoch().count());
   send(s.Server, std::move(request),
        {.Kind = MessageKind::Call, .Session = s.Id, .AttemptId = s.AttemptId},
@@ -279,7 +283,7 @@
   const bool isSafe =
       why.Outcome == Verdict::NotRun ||
       (why.Outcome == Verdict::MayHaveRun && isRepeatable && s.NextIndex == 0);
-  // Only the owner may run it, so another try would be the same one.
+  // Only the owner may run the call, so a retry has no other server to go to.
   const bool hasOneOwner = s.Call && !s.Call->Repeatable;
   const bool isFinal =
       why.Why == Reason::Cancelled || why.Why == Reason::UnknownOrganisation;
@@ -314,7 +318,7 @@
   const bool isOtherIncarnation =
       ok(r) && value(r).incarnation() != value(id).Incarnation;
   if (isOtherIncarnation) {
-    // Its tokens died with the agent that held them.
+    // The tokens were lost with the previous incarnation.
     failSession(now, s, {Verdict::MayHaveRun, Reason::OtherIncarnation, {}});
     return;
   }
@@ -326,7 +330,7 @@
     failSession(now, s, wire::fromWire(value(r).refused()));
     return;
   }
-  // The stream itself goes on; the caller may come back for it.
+  // The generation itself continues; the caller can resume it later.
   failSession(now, s,
               {Verdict::MayHaveRun, Reason::BackendServerLost, RetryAfterBusy});
 }
--- a/src/entry/core-documents.cc
+++ b/src/entry/core-documents.cc
@@ -1,5 +1,5 @@
-// Peers: heartbeats, and documents that travel with them. An accepted bundle
-// reaches everyone this way also while the key-value service is down.
+// Peers: heartbeats and the exchange of documents with peers. An accepted
+// bundle reaches every peer this way even while the key-value service is down.
 #include "drumlanding/entry/core.h"
 
 #include "drumlanding/entry/members.h"
@@ -17,7 +17,9 @@
 void Core::on(base::Now now, VmsListed &e) {
   for (const std::string &name :
        Peers->applyList(now.Steady, e.Vms, Options.Place)) {
-    logEvent("entry.members", "gone from the platform's list: " + name);
+    logEvent("entry.members",
+             "peer removed (not in the platform's list, no recent report): " +
+                 name);
     Output.push_back(DisconnectPeer{name});
   }
   if (const auto bundle = Documents.bundle())
@@ -37,7 +39,7 @@
   std::string why;
   const plan::OfferResult offer =
       Documents.offerPacked(now.Wall, document, &why);
-  // A difference that did not fit: the next one comes whole.
+  // When a delta does not apply, request the full document next time.
   if (Member *member = Peers->find(from))
     member->NeedsFullDocument =
         offer == plan::OfferResult::Invalid && document.base_version() != 0;
@@ -49,7 +51,7 @@
   const wire::Versions versions = Documents.versions();
   logEvent(
       "entry.document",
-      fmt::format("in force: {} version={} from {}", plan::toString(kind),
+      fmt::format("applied {} version={} from {}", plan::toString(kind),
                   kind == wire::BUNDLE ? versions.bundle() : versions.plan(),
                   from));
   if (kind != wire::BUNDLE)
@@ -96,7 +98,7 @@
   };
   const auto push = [&](wire::DocumentKind kind) {
     wire::Request request;
-    // A push that the peer did not take is sent whole the next time.
+    // When the peer did not apply this version as a delta, push it in full.
     const std::uint64_t base =
         member->PushedBundleVersion == ours.bundle() ? 0 : theirs.bundle();
     if (kind == wire::BUNDLE)
--- a/src/entry/core-streams.cc
+++ b/src/entry/core-streams.cc
@@ -1,4 +1,4 @@
-// Streams: one long poll for each agent, and the tokens that come with it.
+// Streams: one long poll per agent, and delivery of the tokens it returns.
 #include "drumlanding/entry/core.h"
 
 #include "drumlanding/base/invariant.h"
@@ -17,9 +17,9 @@
 using base::Result;
 using base::Verdict;
 
-/// Makes sure that one connection follows a stream: the newest. A caller that
-/// came back may have left a connection behind that nobody reads. Returns false
-/// when `s` itself is the older one.
+/// Ensures that only the newest connection follows a stream: the older one of a
+/// caller that reconnected may be open with no reader. Fails the older session;
+/// returns false when that is `s`.
 bool Core::keepNewestFollower(base::Now now, Session &s) {
   const auto agentPoll = AgentPolls.find(s.Server);
   if (agentPoll == AgentPolls.end())
@@ -41,13 +41,14 @@
   if (agentPoll.Streams.empty())
     agentPoll.LastReplyAt = now.Steady;
   agentPoll.Streams[s.RequestId] = s.Id;
-  // Alone it asks at once; with others the next tick asks for all new ones.
+  // Polls at once when no poll is open; otherwise the next tick sends one poll
+  // for all new streams.
   if (agentPoll.PollId == 0)
     poll(now, s.Server);
   else
     agentPoll.NeedsPoll = true;
-  // A new generation begins with its first token: until then another server
-  // can still be tried, and the answer can still be a plain refusal.
+  // The stream of a new generation begins with its first token: until then
+  // another server can be tried or the request refused with an HTTP status.
   if (!s.Generation)
     beginStream(s);
 }
@@ -67,13 +68,14 @@
     it->second.Streams.erase(stream);
 }
 
-/// Measures what the caller waited for these tokens.
+/// Records how long the caller waited for these tokens.
 void Core::recordTokenGap(base::Now now, Session &s) {
   const bool isFirst = s.LastTokenAt == base::Instant{};
   const base::Duration gap =
       now.Steady - (isFirst ? s.RequestedAt : s.LastTokenAt);
   s.LastTokenAt = now.Steady;
-  // A resumed stream's first token here is not the first of the answer.
+  // The first token after a resume is not the first token of the answer, so it
+  // does not count as time to first token.
   if (isFirst && !s.Generation)
     return;
   if (Options.Observe)
@@ -142,7 +144,7 @@
     it->second.NeedsPoll = true;
   for (const wire::StreamPart &part : value(r).poll().parts())
     onStreamPart(now, sent.Peer, part);
-  // Ask again at once: the next tokens are on their way.
+  // Poll again at once: more tokens are expected.
   const auto current = AgentPolls.find(sent.Peer);
   if (isCurrent && current != AgentPolls.end() &&
       !current->second.Streams.empty())
@@ -155,7 +157,7 @@
   if (agentPoll == AgentPolls.end())
     return;
   const auto stream = agentPoll->second.Streams.find(part.request_id());
-  // Late: the session is over, or follows another attempt.
+  // Late part: the session has ended or follows another attempt.
   if (stream == agentPoll->second.Streams.end())
     return;
   Session &s = Sessions.at(stream->second);
--- a/src/entry/core.cc
+++ b/src/entry/core.cc
@@ -1,4 +1,5 @@
-// Sessions: from a caller's request to the first attempt, and their end.
+// Sessions: validating requests, opening and ending sessions, and dispatching
+// replies.
 #include "drumlanding/entry/core.h"
 
 #include "drumlanding/base/invariant.h"
@@ -128,7 +129,9 @@
     return {Verdict::NotRun, Reason::NotAllowed, {}};
   if (e.Body.size() > bundle->Limits.MaxBodyBytes)
     return {Verdict::NotRun, Reason::BodyTooLarge, {}};
-  // A key from the future could outlive the memory of what it ran.
+  // An agent accepts a key for a limited time after its timestamp and keeps the
+  // record of the call slightly longer. A key with a future timestamp could be
+  // accepted after its record was discarded.
   if (!e.Repeatable && (e.Key.empty() || e.KeyTime > now.Wall + MaxClockSkew))
     return {Verdict::NotRun, Reason::MalformedRequest, {}};
   return {};
@@ -309,7 +312,7 @@
     break;
   }
   const auto it = Sessions.find(sent.Session);
-  // The session is over, or this is the reply of an attempt before.
+  // The session has ended, or the reply belongs to an earlier attempt.
   if (it == Sessions.end() || it->second.AttemptId != sent.AttemptId)
     return;
   Session &s = it->second;
--- a/src/entry/entry-constants.h
+++ b/src/entry/entry-constants.h
@@ -1,4 +1,4 @@
-/// Constants and small helpers that the files of the entry core share.
+/// Constants and helpers shared by the files of the entry core.
 #pragma once
 
 #include "control.pb.h"
@@ -13,41 +13,44 @@
 using base::milliseconds;
 using base::seconds;
 
-/// Retries as a part of first attempts, and how many are saved up.
+/// Retries per first attempt, and the size of the retry burst.
 inline constexpr double RetryRatio = 0.1;
 inline constexpr double RetryBurst = 10;
-/// Most backend servers tried for one request.
+/// Maximum number of attempts for one request.
 inline constexpr int MaxAttempts = 3;
-/// Most waits for a document that one side does not have yet.
+/// Maximum number of waits for a document that one side does not have yet, or
+/// for the incarnation of a key's owner.
 inline constexpr int MaxBackoffs = 8;
 inline constexpr milliseconds BackoffDelay{60};
-/// Most questions after a lost reply before it is given up.
+/// Maximum number of Revokes sent after a lost reply.
 inline constexpr int MaxRevokes = 3;
-/// A request that has not begun by then is given up.
+/// A request whose stream has not begun after this time is refused.
 inline constexpr seconds StartTimeout{10};
 inline constexpr milliseconds ReplyTimeout{1'000};
-/// Plain services may take this long to answer.
+/// Time limit for the answer of a plain service.
 inline constexpr milliseconds CallTimeout{8'000};
 inline constexpr milliseconds RetryAfterNotReady{1'000};
 inline constexpr milliseconds RetryAfterBusy{500};
 inline constexpr milliseconds PollWait{4'000};
 inline constexpr milliseconds PollTimeout{6'000};
 inline constexpr milliseconds PollRetryDelay{100};
-/// A stream whose agent is not heard of for this long is given up.
+/// A stream fails when its agent has not answered a poll for this long.
 inline constexpr seconds StreamLostTimeout{12};
-/// Reports of backend servers; two missed ones make a server suspect.
+/// Interval of reports from backend servers; a server that misses two is
+/// suspect (SuspectAfter).
 inline constexpr milliseconds AgentSyncInterval{1'000};
-/// Documents also come from the service's watchers, so entries ask less often.
+/// Entries sync less often with each other: the watchers of the key-value
+/// service also deliver documents.
 inline constexpr milliseconds EntrySyncInterval{2'000};
-/// A longer gap between tokens counts as a stall.
+/// A gap between tokens that is longer than this counts as a stall.
 inline constexpr milliseconds StallThreshold{1'000};
 inline constexpr milliseconds SyncTimeout{1'000};
 inline constexpr milliseconds DocumentTimeout{3'000};
 inline constexpr milliseconds CheckInterval{20};
-/// Most by which the clocks of a caller and an entry may differ.
+/// Maximum difference between the clocks of a caller and an entry.
 inline constexpr seconds MaxClockSkew{2};
 
-/// Estimates the tokens of a prompt: four bytes each.
+/// Estimates the tokens of a prompt at four bytes per token.
 inline std::uint32_t estimatePromptTokens(std::string_view prompt) {
   return static_cast<std::uint32_t>(prompt.size() / 4 + 1);
 }
--- a/src/entry/limits.cc
+++ b/src/entry/limits.cc
@@ -6,7 +6,7 @@
 namespace drumlanding::entry {
 namespace {
 
-/// A rate limit lets this many seconds' worth of requests come at once.
+/// Burst that the rate limit allows, in seconds' worth of requests.
 constexpr double BurstSeconds = 2;
 constexpr base::milliseconds MinRetryAfter{100};
 
--- a/src/entry/mailbox.h
+++ b/src/entry/mailbox.h
@@ -1,4 +1,4 @@
-/// Mailbox: hands a session's commands from the core to its connection.
+/// Mailbox: passes a session's commands from the core to its connection.
 #pragma once
 
 #include "drumlanding/entry/core.h"
@@ -15,7 +15,8 @@
 
 namespace drumlanding::entry {
 
-/// Anyone may post; only the connection's strand takes.
+/// `post` may be called from any thread; `take` only on the connection's
+/// strand.
 class Mailbox : public std::enable_shared_from_this<Mailbox> {
 public:
   explicit Mailbox(boost::asio::any_io_executor strand)
@@ -29,7 +30,7 @@
     });
   }
 
-  /// Waits for commands and takes all there are.
+  /// Waits until there are commands and returns all of them.
   boost::asio::awaitable<std::vector<Command>> take() {
     while (Items.empty()) {
       Wake.expires_at(std::chrono::steady_clock::time_point::max());
--- a/src/entry/main.cc
+++ b/src/entry/main.cc
@@ -1,12 +1,15 @@
-// drumlanding-entry: takes callers' requests and chooses backend servers.
+// drumlanding-entry: accepts callers' requests and routes them to backend
+// servers.
 #include "shell.h"
 
 #include <gflags/gflags.h>
 
 DEFINE_string(listen, "", "[network] IP:port for callers (HTTP)");
 DEFINE_string(platform, "", "[network] IP:port of the platform's service");
-DEFINE_int32(subset_size, 16,
-             "[decisions] most servers of one service to route to, 1 to 1000");
+DEFINE_int32(
+    subset_size, 16,
+    "[decisions] maximum number of servers of one service to route to, "
+    "1 to 1000");
 
 namespace {
 
@@ -47,6 +50,7 @@
     base::exitOnBadSettings(error(shell));
   runtime.onStop([&] { value(shell)->leave(); });
   runtime.run();
-  // Connections that are still open hold references into the shell.
+  // Exits without destructors: connections that are still open hold references
+  // to the shell.
   std::_Exit(0);
 }
--- a/src/entry/members.cc
+++ b/src/entry/members.cc
@@ -6,9 +6,9 @@
 namespace drumlanding::entry {
 namespace {
 
-/// Other entries that an entry exchanges documents with.
+/// Maximum number of other entries that an entry exchanges documents with.
 constexpr std::size_t MaxEntryPeers = 8;
-/// A peer that the list no longer names is forgotten after this silence.
+/// A peer that is not in the list is removed after this long without a report.
 constexpr base::seconds RemoveAfter{15};
 
 } // namespace
@@ -33,8 +33,8 @@
     Member &member = it->second;
     if (isNew) {
       member.NameHash = base::hash64(vm.Name);
-      // Spread the first reports, so that a place that comes back is not
-      // asked by everybody at once.
+      // Spread the first syncs, so that a place that becomes reachable again
+      // does not get requests from all entries at once.
       member.NextSyncAt =
           now + base::milliseconds(
                     base::mix64(member.NameHash, base::hash64(Self)) % 300);
@@ -42,8 +42,8 @@
     member.Vm = vm;
   }
   std::vector<std::string> removed;
-  // The list lags and can be empty after a restart of the platform: who still
-  // reports is there.
+  // The list lags and can be empty after the platform restarts, so a peer that
+  // still reports is kept.
   for (const auto &[name, member] : All)
     if (!listed.contains(name) && now - member.ReportedAt > RemoveAfter)
       removed.push_back(name);
@@ -63,8 +63,9 @@
   }
   const std::uint64_t self = base::hash64(Self);
   for (auto &[service, members] : groups) {
-    // Own place first, then by rendezvous rank: every server is in about
-    // equally many subsets, and a change moves few.
+    // Sort by own place first, then by rendezvous hash: every server is in
+    // about the same number of subsets, and a membership change affects few
+    // subsets.
     std::sort(members.begin(), members.end(),
               [&](const Member *a, const Member *b) {
                 const bool nearA = a->Vm.Place == place;
--- a/src/entry/plan-leader.cc
+++ b/src/entry/plan-leader.cc
@@ -18,7 +18,7 @@
 
 constexpr base::milliseconds LeaseTtl{5'000};
 constexpr base::milliseconds PlanInterval{1'000};
-/// How often an entry without the lease looks whether it is free.
+/// How often an entry without the lease checks whether it is free.
 constexpr base::milliseconds LeaseCheckInterval{3'000};
 
 const base::Log PlanLog("entry.plan");
@@ -85,7 +85,8 @@
   if (value(held).Revision != 0) {
     auto parsed = plan::parsePlan(value(held).Value);
     if (!ok(parsed)) {
-      PlanLog.error("the plan cannot be read: {}", describe(error(parsed)));
+      PlanLog.error("cannot parse the stored plan, no new plan is written: {}",
+                    describe(error(parsed)));
       co_return;
     }
     current = std::move(value(parsed));
@@ -99,12 +100,14 @@
   const auto swap = co_await Platform.swap(
       platform::PlanKey, value(held).Revision, plan::serialise(next));
   if (!ok(swap))
-    // It may have taken effect: the next round reads and goes on from there.
-    PlanLog.info("plan version={} answer lost", next.Version);
+    // The write may have taken effect; the next round reads the stored plan.
+    PlanLog.info("plan version={} write not confirmed; reading it again",
+                 next.Version);
   else
     PlanLog.info("plan version={} bundle={} servers={} {}", next.Version,
                  next.BundleVersion, next.Assignments.size(),
-                 value(swap).Swapped ? "written" : "lost the race");
+                 value(swap).Swapped ? "written"
+                                     : "not written: the stored plan changed");
 }
 
 } // namespace drumlanding::entry
--- a/src/entry/plan-leader.h
+++ b/src/entry/plan-leader.h
@@ -1,6 +1,6 @@
-/// Plan keeper: the one entry that holds the lease makes the next plan. The
-/// lease only saves work done twice: what counts is the compare-and-swap, so a
-/// keeper that was paused past its lapse loses there.
+/// Plan leader: the entry that holds the lease writes the plans. The lease only
+/// avoids duplicate work. The compare-and-swap of the plan ensures safety: a
+/// leader that was paused until its lease expired fails there.
 #pragma once
 
 #include "drumlanding/plan/plan.h"
@@ -14,15 +14,17 @@
 
 namespace drumlanding::entry {
 
-/// What a plan is made from.
+/// The input of a plan.
 struct PlanInput {
   std::shared_ptr<const bundle::Bundle> Bundle;
   std::vector<plan::PlannedServer> Servers;
-  /// Every server that reports holds what the plan says: the next may move.
+  /// True when every usable server has loaded the models that the current plan
+  /// assigns to it, so that the next plan may change another server.
   bool IsConverged = true;
 };
 
-/// True when a report lists everything that an assignment names.
+/// Returns true when a report lists every model and version of an assignment.
+/// Adapters are not compared.
 bool reportsAllModels(const wire::Report &report,
                       const plan::Assignment &assigned);
 
@@ -33,7 +35,8 @@
   PlanLeader(const platform::Client &platform, std::string name,
              InputProvider provideInput);
 
-  /// Runs for ever: takes the lease when it is free, and plans while it holds.
+  /// Never returns: acquires the lease when it is free, and writes plans while
+  /// holding it.
   platform::asio::awaitable<void> run();
 
 private:
@@ -43,7 +46,7 @@
   const platform::Client &Platform;
   std::string Name;
   InputProvider ProvideInput;
-  /// Empty while another entry holds the lease.
+  /// 0 while this entry does not hold the lease.
   std::uint64_t LeaseId = 0;
 };
 
--- a/src/entry/router.cc
+++ b/src/entry/router.cc
@@ -5,7 +5,7 @@
 namespace drumlanding::entry {
 namespace {
 
-/// Draws per choice before the rest is searched in order.
+/// Redraws per choice before the servers are searched in order.
 constexpr int DrawsPerChoice = 4;
 
 std::optional<std::size_t> firstUsableFrom(std::span<const ServerView> views,
@@ -61,7 +61,8 @@
 double Router::costOf(const ServerView &view, const RouteQuery &query,
                       base::Instant now, double average) const {
   double load = loadOf(view, query);
-  // What is not known is taken as average, with what was sent there since.
+  // The load of a server without a recent report is unknown: assume the average
+  // plus the requests sent to it since.
   if (now - view.ReportedAt > Options.StaleAfter) {
     ServerView unknown = view;
     unknown.UsedTokens = 0;
--- a/src/entry/shell.cc
+++ b/src/entry/shell.cc
@@ -20,20 +20,20 @@
 
 constexpr int MaxControlCalls = 64;
 constexpr milliseconds TickInterval{5};
-/// With nothing open, only heartbeats are due.
+/// With no open session, ticks only drive heartbeats.
 constexpr milliseconds IdleTickInterval{20};
 constexpr milliseconds ListInterval{1'000};
 constexpr milliseconds WatchTimeout{5'000};
 constexpr milliseconds PlatformRetryDelay{500};
-/// Entries of a place that watch the key-value service themselves.
+/// Number of entries per place that watch the key-value service.
 constexpr std::size_t WatchersPerPlace = 2;
-/// Ticks between two refreshes of the metrics.
+/// Ticks between two updates of the gauges.
 constexpr int TicksPerMetricsUpdate = 100;
-/// An entry that leaves goes on this long after its last session.
+/// Ticks without a session before a leaving entry stops.
 constexpr int TicksBeforeStop = 100;
 constexpr std::size_t MaxBodySize = 4 << 20;
 
-/// Returns whether a session's last word is among the commands.
+/// Returns true when the command ends its session.
 bool isFinal(const Command &command) {
   return std::holds_alternative<EndStream>(command) ||
          std::holds_alternative<RefuseSession>(command) ||
@@ -57,7 +57,7 @@
   return events;
 }
 
-/// The session that a command is for.
+/// Returns the session that a command belongs to.
 template <typename C> SessionId sessionOf(const C &c) { return c.Session; }
 
 } // namespace
@@ -151,8 +151,8 @@
   Link &link = Links[peer];
   if (link.Client && link.To == to)
     return link.Client.get();
-  // A replaced VM has another address; the old link is closed elsewhere,
-  // since that waits for calls that may need CoreLock.
+  // A replaced VM has a new address. The old link is destroyed on the I/O
+  // context, because destroying it waits for calls that may need CoreLock.
   std::shared_ptr<wire::Client> old = std::move(link.Client);
   asio::post(Runtime.io(), [old] {});
   auto dialled = wire::Client::dial(to, Settings.Daemon.Key, LinkBytes);
@@ -172,7 +172,8 @@
   if (wire::Client *link = connectTo(c.Peer, c.To))
     link->call(c.Request, c.Timeout, deliver);
   else
-    deliver(base::Error{base::ErrorCode::Unavailable, c.Peer, "no link"});
+    deliver(base::Error{base::ErrorCode::Unavailable, c.Peer,
+                        "cannot open a link"});
 }
 
 void Shell::execute(ReplyToPeer &c) {
@@ -351,7 +352,7 @@
     idleTicks = IsLeaving && !hasSessions ? idleTicks + 1 : 0;
     if (idleTicks < TicksBeforeStop)
       continue;
-    base::Log("entry.drain").info("no session is left: stopping");
+    base::Log("entry.drain").info("no open sessions: stopping");
     Runtime.finish();
     co_return;
   }
@@ -367,8 +368,11 @@
       }
       dispatch(VmsListed{std::move(value(vms))});
     } else {
-      // The last list goes on; direct reports tell who lives.
-      base::Log("entry.members").debug("list: {}", describe(error(vms)));
+      // The last list stays in use; reports from the peers show which are
+      // reachable.
+      base::Log("entry.members")
+          .debug("reading the list of VMs failed, keeping the last one: {}",
+                 describe(error(vms)));
     }
     co_await sleepFor(ListInterval);
   }
@@ -404,7 +408,7 @@
       input.IsConverged =
           input.IsConverged && reportsAllModels(member->Report, *assigned);
   }
-  // A list that names no agent is a list that is not there yet.
+  // A list without agents has not been populated yet.
   if (input.Servers.empty())
     return std::nullopt;
   return input;
@@ -421,7 +425,9 @@
     }
     const auto entry = co_await Platform.watch(key, revision, WatchTimeout);
     if (!ok(entry)) {
-      base::Log("entry.document").debug("watch: {}", describe(error(entry)));
+      base::Log("entry.document")
+          .debug("watching a document failed, retrying: {}",
+                 describe(error(entry)));
       co_await sleepFor(PlatformRetryDelay);
       continue;
     }
--- a/src/entry/shell.h
+++ b/src/entry/shell.h
@@ -1,9 +1,8 @@
-/// Entry shell: turns sockets and timers into the core's events and carries
-/// out its commands.
+/// Entry shell: turns input from sockets and timers into core events and
+/// executes the core's commands.
 ///
-/// Lock order: CoreLock before any lock of a link. Commands are carried out
-/// while CoreLock is held, so that they happen in the order decided; none of
-/// them blocks.
+/// Lock order: CoreLock before any lock of a link. Commands are executed while
+/// CoreLock is held, which preserves their order; none of them blocks.
 #pragma once
 
 #include "api.h"
@@ -38,7 +37,7 @@
   static base::Result<std::unique_ptr<Shell>> start(daemon::Runtime &runtime,
                                                     ShellSettings settings);
 
-  /// Begins a planned stop: ends the runtime once no session is open.
+  /// Starts draining: stops the runtime once no session is open.
   void leave();
 
 private:
--- a/src/plan/document-store.cc
+++ b/src/plan/document-store.cc
@@ -9,8 +9,8 @@
 namespace drumlanding::plan {
 namespace {
 
-/// Versions kept to make differences from: at 0.13 changes a second a peer
-/// that missed a minute's worth still gets a difference.
+/// Number of bundle versions kept as bases of deltas. At 0.13 changes per
+/// second a peer that missed a minute of changes still gets a delta.
 constexpr std::size_t MaxHistory = 8;
 
 void setReason(std::string *why, const base::Error &e) {
@@ -70,9 +70,9 @@
       std::find_if(History.begin(), History.end(),
                    [&](const PastBundle &p) { return p.Version == base; });
   if (kind == wire::BUNDLE && base != 0 && past != History.end()) {
-    std::string difference = bundle::makeBundleDelta(past->Text, full);
-    if (!difference.empty() && difference.size() < full.size() / 2) {
-      document.set_body(std::move(difference));
+    std::string delta = bundle::makeBundleDelta(past->Text, full);
+    if (!delta.empty() && delta.size() < full.size() / 2) {
+      document.set_body(std::move(delta));
       document.set_base_version(base);
       return document;
     }
--- a/src/plan/plan.cc
+++ b/src/plan/plan.cc
@@ -9,9 +9,9 @@
 using base::Result;
 using Json = nlohmann::json;
 
-/// What a server of this service should hold: the newest version of each of
-/// the service's models. While a roll-out is under way other servers still
-/// hold the version before.
+/// Returns the models that a server of this service should load: the newest
+/// version of each of the service's models. During a roll-out some servers
+/// still have the previous version.
 std::vector<LoadedModel> targetModels(const bundle::Bundle &bundle,
                                       const bundle::Service &service) {
   std::vector<LoadedModel> models;
@@ -21,7 +21,7 @@
   return models;
 }
 
-/// Plan::assignment relies on this order.
+/// Sorts as Plan::assignment requires for its binary search.
 void sortByServer(std::vector<Assignment> &assignments) {
   std::sort(assignments.begin(), assignments.end(),
             [](const Assignment &a, const Assignment &b) {
@@ -58,7 +58,8 @@
     const Assignment *assigned = current.assignment(server.Name);
     Assignment target{server.Name, targetModels(bundle, *service)};
     const bool needsChange = assigned && !(*assigned == target);
-    // A leaving server keeps what it has: loading would be work in vain.
+    // A leaving server keeps its assignment: loading models on it is wasted
+    // work.
     const bool mayChange = changes < maxChanges && !server.Leaving;
     if (needsChange && !mayChange)
       target = *assigned;
@@ -95,8 +96,9 @@
 Result<Plan> parsePlan(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object())
-    return base::invalid("plan", "is not a JSON object");
-  // Only our own processes write plans; a malformed one is refused whole.
+    return base::invalid("plan", "expected a JSON object");
+  // Only entries write plans, so a malformed plan is rejected without locating
+  // the invalid field.
   try {
     Plan plan;
     plan.Version = json.at("version").get<std::uint64_t>();
--- a/test/bundle-test.cc
+++ b/test/bundle-test.cc
@@ -76,7 +76,8 @@
   sign(untrusted, Role::Approver, makeKeyPair().Secret);
   EXPECT_FALSE(ok(verify(untrusted, signers.trusted())));
 
-  // One signature cannot serve as the other, and one key not as both.
+  // The author's signature is not valid as the approver's, and one key cannot
+  // sign in both roles.
   SignedBundle swapped = b;
   swapped.Approver = b.Author;
   const TrustedKeys both{{signers.Author.Public}, {signers.Author.Public}};
@@ -112,24 +113,24 @@
   json["version"] = 2;
   json["organisations"][1]["contract"]["share"] = 7;
   from.offer({}, wire::BUNDLE, signers.serialised(json));
-  const wire::Document difference = from.pack(wire::BUNDLE, 1);
-  EXPECT_EQ(difference.base_version(), 1U);
-  EXPECT_LT(difference.body().size(), 1'000U);
+  const wire::Document delta = from.pack(wire::BUNDLE, 1);
+  EXPECT_EQ(delta.base_version(), 1U);
+  EXPECT_LT(delta.body().size(), 1'000U);
 
-  // A changed byte is found by the signatures of the whole.
-  wire::Document changed = difference;
+  // The signatures of the patched bundle detect a changed byte in the delta.
+  wire::Document changed = delta;
   const auto at = changed.body().find("\"value\":7");
   ASSERT_NE(at, std::string::npos);
   (*changed.mutable_body())[at + 8] = '8';
   EXPECT_EQ(to.offerPacked({}, changed), plan::OfferResult::Invalid);
   EXPECT_EQ(to.versions().bundle(), 1U);
 
-  EXPECT_EQ(to.offerPacked({}, difference), plan::OfferResult::Taken);
+  EXPECT_EQ(to.offerPacked({}, delta), plan::OfferResult::Taken);
   EXPECT_EQ(to.bundle()->Organisations[1].Contract.Share, 7);
-  // Repeated, and to one that has no base.
-  EXPECT_EQ(to.offerPacked({}, difference), plan::OfferResult::Older);
+  // A repeated delta is older; a store without the base rejects it.
+  EXPECT_EQ(to.offerPacked({}, delta), plan::OfferResult::Older);
   plan::DocumentStore fresh(signers.trusted());
-  EXPECT_EQ(fresh.offerPacked({}, difference), plan::OfferResult::Invalid);
+  EXPECT_EQ(fresh.offerPacked({}, delta), plan::OfferResult::Invalid);
   EXPECT_EQ(fresh.offerPacked({}, from.pack(wire::BUNDLE, 0)),
             plan::OfferResult::Taken);
 }
--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -1,5 +1,5 @@
-// Each proof must be seen to fail: with one mechanism switched off the same
-// scenarios break a promise, with it they hold.
+// Shows that each mechanism is needed: a scenario violates a guarantee with the
+// mechanism switched off and holds with it on.
 #include "drumlanding/base/invariant.h"
 #include "world.h"
 
@@ -20,7 +20,7 @@
   return sum;
 }
 
-/// Runs a scenario under many seeds; returns how many broke a promise.
+/// Runs a scenario with 40 seeds; returns how many runs violated a guarantee.
 int countBroken(const WorldOptions &options,
                 const std::function<void(World &)> &scenario,
                 std::string *example = nullptr) {
@@ -43,7 +43,7 @@
   return broken;
 }
 
-/// Expects the scenario to break without the mechanism and to hold with it.
+/// Expects violations without the mechanism and none with it.
 void expectMechanismNeeded(const char *name, const WorldOptions &without,
                            const std::function<void(World &)> &scenario) {
   base::setInvariantsFatal(false);
@@ -72,7 +72,8 @@
 TEST(Mechanism, LeaveTombstones) {
   WorldOptions off;
   off.AgentOn.LeaveTombstones = false;
-  // The Start is lost, the entry asks and hears "not run"; a copy comes late.
+  // The request is delayed, so the entry sends a Revoke and gets "not run"; the
+  // request arrives after that.
   expectMechanismNeeded("leave tombstones", off, [](World &w) {
     w.injectAt(Step::CallRequest, Fault::LateArrival);
     w.askCall(0, false);
@@ -83,7 +84,7 @@
 TEST(Mechanism, CheckIncarnation) {
   WorldOptions off;
   off.AgentOn.CheckIncarnation = false;
-  // A copy of a Start reaches the agent's next incarnation while the entry
+  // A duplicate of a Start reaches the agent's next incarnation while the entry
   // that follows the stream is frozen.
   expectMechanismNeeded("check incarnation", off, [](World &w) {
     w.endless(true);
@@ -100,7 +101,8 @@
 TEST(Mechanism, CheckKeyTime) {
   WorldOptions off;
   off.AgentOn.CheckKeyTime = false;
-  // The agent forgets in a restart what it ran; the caller sends again.
+  // A restart erases the agent's record of the calls it ran; the caller repeats
+  // the call.
   expectMechanismNeeded("check key time", off, [](World &w) {
     w.askCall(0, true);
     w.run(50ms);
@@ -114,7 +116,8 @@
   WorldOptions off;
   off.AgentOn.CancelOrphans = false;
   off.EngineCapacity = 200'000;
-  // Its only follower dies before the caller knows the stream's id.
+  // The only entry that follows the stream is killed before the caller has the
+  // stream's id.
   expectMechanismNeeded("cancel orphans", off, [](World &w) {
     w.endless(true);
     w.injectAt(Step::EngineStart, Fault::KillEntry);
@@ -126,7 +129,7 @@
 TEST(Mechanism, RefuseWhenLeaving) {
   WorldOptions off;
   off.AgentOn.RefuseWhenLeaving = false;
-  // An entry that has not heard of it yet still sends work.
+  // The entry does not know yet that the server is leaving and sends it work.
   expectMechanismNeeded("refuse when leaving", off, [](World &w) {
     w.orderLeave(0);
     for (int i = 0; i < 10; ++i)
@@ -138,7 +141,7 @@
 TEST(Mechanism, ResolveLostReplies) {
   WorldOptions off;
   off.EntryOn.ResolveLostReplies = false;
-  expectMechanismNeeded("ask after lost replies", off, [](World &w) {
+  expectMechanismNeeded("resolve lost replies", off, [](World &w) {
     w.injectAt(Step::CallReply, Fault::Lose);
     w.askCall(0, false);
     w.run(20s);
@@ -148,9 +151,9 @@
 TEST(Mechanism, DropDuplicateTokens) {
   WorldOptions off;
   off.EntryOn.DropDuplicateTokens = false;
-  expectMechanismNeeded("drop repeated tokens", off, [](World &w) {
-    // Each new stream sends a poll, while the replies to earlier ones are
-    // on their way with the same tokens.
+  expectMechanismNeeded("drop duplicate tokens", off, [](World &w) {
+    // Each new stream triggers a poll while replies to earlier polls with the
+    // same tokens are in flight.
     for (int i = 0; i < 30; ++i) {
       w.askGeneration(0);
       w.run(7ms);
@@ -159,11 +162,11 @@
   });
 }
 
-/// Attempts for each request when the engines refuse three starts in ten.
+/// Returns the attempts per request when the engines refuse 30 % of starts.
 double attemptsPerRequest(bool limitsRetries) {
   WorldOptions options;
   options.RefusePart = 0.3;
-  // Room for all, so that no request still waits when the test ends.
+  // Enough capacity that no request is still waiting when the test ends.
   options.EngineCapacity = 200'000;
   options.EntryOn.LimitRetries = limitsRetries;
   World world(options);
@@ -187,8 +190,8 @@
   EXPECT_LT(on, 1.15);
 }
 
-/// Seconds until a bundle is everywhere when the key-value service goes down
-/// right after one entry has read it; 30 when it never is.
+/// Returns the seconds until all processes have a bundle when the key-value
+/// service fails right after one entry has read it; 30 when some never get it.
 double propagationSeconds(bool propagates) {
   WorldOptions options;
   options.EntryOn.PropagateDocuments = propagates;
@@ -215,9 +218,9 @@
 
 TEST(Mechanism, PropagateDocuments) {
   const double on = propagationSeconds(true);
-  std::printf("spread documents: everywhere after %.2f s\n", on);
+  std::printf("propagate documents: in all processes after %.2f s\n", on);
   EXPECT_LT(on, 3);
-  // Without it only the entry that watches ever gets a bundle.
+  // Without propagation only the entry that watches the service gets a bundle.
   WorldOptions off;
   off.EntryOn.PropagateDocuments = false;
   World world(off);
--- a/test/plan-test.cc
+++ b/test/plan-test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(second.Version, 2U);
   EXPECT_EQ(versionOn(second, "tutor-llm-1"), "2");
   EXPECT_EQ(versionOn(second, "tutor-llm-2"), "1");
-  // Nothing more moves until what was moved has loaded.
+  // No other server changes until the changed one has loaded its models.
   EXPECT_EQ(makePlan(newer, twoServers(), second, 0).Version, 2U);
   const Plan third = makePlan(newer, twoServers(), second);
   EXPECT_EQ(versionOn(third, "tutor-llm-2"), "2");
--- a/test/promise-test.cc
+++ b/test/promise-test.cc
@@ -1,4 +1,5 @@
-// Promises that are about time and order rather than about a single message.
+// Guarantees that depend on timing and order across messages rather than on a
+// single message.
 #include "drumlanding/entry/limits.h"
 #include "world.h"
 
@@ -98,7 +99,7 @@
 }
 
 TEST(Streams, NewestConnectionReceivesTheStream) {
-  // The reply to the first resume comes after that to the second.
+  // The reply to the first resume arrives after the reply to the second.
   WorldOptions options;
   options.Entries = 1;
   World world(options);
@@ -119,13 +120,14 @@
   world.rollOut(2);
   world.run(4s);
   world.setKvDown(true);
-  // The one entry that reads the service restarts and learns from its peers.
+  // The only entry that reads the service restarts and gets the bundle from its
+  // peers.
   world.inject(Fault::KillEntry, 0, 0);
   world.inject(Fault::RestartAgent, 0, 0);
   world.run(5s);
   EXPECT_EQ(world.bundleOfEntry(0), 2U);
   EXPECT_EQ(world.bundleOfAgent(0), 2U);
-  // The service comes back with an older state than the peers know.
+  // The service returns with an older state than the peers have.
   world.rollOut(1);
   world.setKvDown(false);
   world.run(5s);
@@ -135,7 +137,7 @@
     EXPECT_EQ(world.bundleOfAgent(i), 2U);
 }
 
-/// Counts the orders to load in what a core wants done.
+/// Returns the number of load orders among the commands.
 std::size_t countLoadOrders(const agent::Commands &commands) {
   return static_cast<std::size_t>(std::count_if(
       commands.begin(), commands.end(), [](const agent::Command &c) {
@@ -182,7 +184,8 @@
   core.handle(clock.now(), agent::ServerObserved{true, 60'000, {}});
   push(wire::BUNDLE, keys.serialised(exampleJson(1)));
   EXPECT_EQ(push(wire::PLAN, serialisedPlan(2, "2")), 1U);
-  // A holder that was paused past its lapse would write this one.
+  // A leader that was paused until its lease expired could still send this
+  // plan.
   EXPECT_EQ(push(wire::PLAN, serialisedPlan(1, "1")), 0U);
   EXPECT_EQ(push(wire::PLAN, serialisedPlan(2, "1")), 0U);
   EXPECT_EQ(core.documents().plan()->Version, 2U);
--- a/test/test-bundles.h
+++ b/test/test-bundles.h
@@ -1,4 +1,4 @@
-/// Bundles and keys for the tests.
+/// Example bundles and keys for tests.
 #pragma once
 
 #include "drumlanding/bundle/signature.h"
@@ -28,7 +28,7 @@
             {"gapWeight", 1}}}};
 }
 
-/// A bundle of two organisations, two engines and two plain servers.
+/// Returns a bundle with two organisations, two engines and two plain servers.
 inline nlohmann::json exampleJson(std::uint64_t version) {
   return {
       {"version", version},
@@ -59,7 +59,7 @@
       {"drain", nlohmann::json::array()}};
 }
 
-/// An author and an approver with keys of their own.
+/// The key pairs of an author and an approver.
 struct Signers {
   bundle::KeyPair Author = bundle::makeKeyPair();
   bundle::KeyPair Approver = bundle::makeKeyPair();
