--- a/test/api-test.cc
+++ b/test/api-test.cc
@@ -18,7 +18,7 @@
   return ok(read) ? "" : error(read).Where;
 }
 
-TEST(Api, ReadsAGeneration) {
+TEST(Api, ParsesGeneration) {
   const auto read = readCallerRequest(
       request("POST", "/v1/generations",
               R"({"model":"m","prompt":"p","maxTokens":7,"stream":false})"));
@@ -30,7 +30,7 @@
   EXPECT_FALSE(parsed.Stream);
 }
 
-TEST(Api, ErrorsNameThePlace) {
+TEST(Api, ErrorsNameTheInvalidField) {
   const auto post = [](std::string body) {
     return request("POST", "/v1/generations", std::move(body));
   };
@@ -48,7 +48,7 @@
             "PATCH /v1/generations");
 }
 
-TEST(Api, KeysCarryTheirTime) {
+TEST(Api, ParsesTimestampOfIdempotencyKey) {
   // The example of RFC 9562, appendix A.6.
   const auto time = idempotencyKeyTime("017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
   ASSERT_TRUE(ok(time));
@@ -60,7 +60,7 @@
             "Idempotency-Key");
 }
 
-TEST(Api, RefusalsSayWhenToComeBack) {
+TEST(Api, RefusalHasRetryAfterHeader) {
   const auto response =
       refusalResponse({base::Verdict::NotRun, base::Reason::Overloaded,
                        std::chrono::milliseconds(1'200)});
