--- a/include/drumlanding/entry/core.h
+++ b/include/drumlanding/entry/core.h
@@ -262,7 +262,7 @@
     wire::DocumentKind Document = wire::BUNDLE;
   };
 
-  /// The long poll to one agent and the streams that it follows.
+  /// The long poll to one agent and the streams that it covers.
   struct AgentPoll {
     std::map<std::string, SessionId> Streams;
     MessageId PollId = 0;
--- a/include/drumlanding/entry/router.h
+++ b/include/drumlanding/entry/router.h
@@ -22,7 +22,7 @@
 
 namespace drumlanding::entry {
 
-/// A backend server as the entry sees it.
+/// An entry's view of a backend server.
 struct ServerView {
   /// base::hash64 of the server's name.
   std::uint64_t NameHash = 0;
@@ -48,13 +48,13 @@
 
 enum class RoutingPolicy {
   Balanced,    ///< Prefix affinity with bounded load, then d choices.
-  Random,      ///< Baseline.
-  LeastLoaded, ///< Baseline: the least load by the last report.
+  Random,      ///< Baseline: a random usable server.
+  LeastLoaded, ///< Baseline: the fewest used tokens in the last report.
 };
 
 struct RouterOptions {
   RoutingPolicy Policy = RoutingPolicy::Balanced;
-  /// Servers drawn at random.
+  /// Number of servers drawn at random.
   int Choices = 3;
   /// How far the affine server's cost may exceed the average load.
   double AffinitySlack = 0.15;
--- a/include/drumlanding/plan/plan.h
+++ b/include/drumlanding/plan/plan.h
@@ -44,7 +44,7 @@
   const Assignment *assignment(std::string_view server) const;
 };
 
-/// A backend server as the planner sees it.
+/// The planner's view of a backend server.
 struct PlannedServer {
   std::string Name;
   std::string Service;
--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -129,7 +129,7 @@
 TEST(Mechanism, RefuseWhenLeaving) {
   WorldOptions off;
   off.AgentOn.RefuseWhenLeaving = false;
-  // The entry does not know yet that the server is leaving and sends it work.
+  // The drain has not reached the entry yet, so it still sends work.
   expectMechanismNeeded("refuse when leaving", off, [](World &w) {
     w.orderLeave(0);
     for (int i = 0; i < 10; ++i)
