--- a/test/mechanism-test.cc
+++ b/test/mechanism-test.cc
@@ -1,5 +1,5 @@
-// Each proof must be seen to fail: with one mechanism switched off the same
-// scenarios break a promise, with it they hold.
+// Shows that each mechanism is needed: a scenario violates a guarantee with the
+// mechanism switched off and holds with it on.
 #include "drumlanding/base/invariant.h"
 #include "simulated-cluster.h"
 
@@ -20,7 +20,7 @@
   return sum;
 }
 
-/// Runs a scenario under many seeds; returns how many broke a promise.
+/// Runs a scenario with 40 seeds; returns how many runs violated a guarantee.
 int countBroken(const SimulatedClusterOptions &options,
                 const std::function<void(SimulatedCluster &)> &scenario,
                 std::string *example = nullptr) {
@@ -43,7 +43,7 @@
   return broken;
 }
 
-/// Expects the scenario to break without the mechanism and to hold with it.
+/// Expects violations without the mechanism and none with it.
 void expectMechanismNeeded(
     const char *name, const SimulatedClusterOptions &without,
     const std::function<void(SimulatedCluster &)> &scenario) {
@@ -73,7 +73,8 @@
 TEST(Mechanism, RecordTombstones) {
   SimulatedClusterOptions off;
   off.AgentMechanisms.RecordTombstones = false;
-  // The Start is lost, the entry asks and hears "not run"; a copy comes late.
+  // The request is delayed, so the entry sends a Revoke and gets "not run"; the
+  // request arrives after that.
   expectMechanismNeeded("leave tombstones", off, [](SimulatedCluster &w) {
     w.injectAt(Step::CallRequest, Fault::LateArrival);
     w.requestCall(0, false);
@@ -84,7 +85,7 @@
 TEST(Mechanism, CheckIncarnation) {
   SimulatedClusterOptions off;
   off.AgentMechanisms.CheckIncarnation = false;
-  // A copy of a Start reaches the agent's next incarnation while the entry
+  // A duplicate of a Start reaches the agent's next incarnation while the entry
   // that follows the stream is frozen.
   expectMechanismNeeded("check incarnation", off, [](SimulatedCluster &w) {
     w.setEndless(true);
@@ -101,7 +102,8 @@
 TEST(Mechanism, CheckKeyTime) {
   SimulatedClusterOptions off;
   off.AgentMechanisms.CheckKeyTime = false;
-  // The agent forgets in a restart what it ran; the caller sends again.
+  // A restart erases the agent's record of the calls it ran; the caller repeats
+  // the call.
   expectMechanismNeeded("check key time", off, [](SimulatedCluster &w) {
     w.requestCall(0, true);
     w.run(50ms);
@@ -115,7 +117,8 @@
   SimulatedClusterOptions off;
   off.AgentMechanisms.CancelOrphans = false;
   off.EngineCapacity = 200'000;
-  // Its only follower dies before the caller knows the stream's id.
+  // The only entry that follows the stream is killed before the caller has the
+  // stream's id.
   expectMechanismNeeded("cancel orphans", off, [](SimulatedCluster &w) {
     w.setEndless(true);
     w.injectAt(Step::EngineStart, Fault::KillEntry);
@@ -127,7 +130,7 @@
 TEST(Mechanism, RefuseWhenLeaving) {
   SimulatedClusterOptions off;
   off.AgentMechanisms.RefuseWhenLeaving = false;
-  // An entry that has not heard of it yet still sends work.
+  // The drain has not reached the entry yet, so it still sends work.
   expectMechanismNeeded("refuse when leaving", off, [](SimulatedCluster &w) {
     w.requestLeave(0);
     for (int i = 0; i < 10; ++i)
@@ -139,7 +142,7 @@
 TEST(Mechanism, ResolveLostReplies) {
   SimulatedClusterOptions off;
   off.EntryMechanisms.ResolveLostReplies = false;
-  expectMechanismNeeded("ask after lost replies", off, [](SimulatedCluster &w) {
+  expectMechanismNeeded("resolve lost replies", off, [](SimulatedCluster &w) {
     w.injectAt(Step::CallReply, Fault::Lose);
     w.requestCall(0, false);
     w.run(20s);
@@ -149,9 +152,9 @@
 TEST(Mechanism, DropDuplicateTokens) {
   SimulatedClusterOptions off;
   off.EntryMechanisms.DropDuplicateTokens = false;
-  expectMechanismNeeded("drop repeated tokens", off, [](SimulatedCluster &w) {
-    // Each new stream sends a poll, while the replies to earlier ones are
-    // on their way with the same tokens.
+  expectMechanismNeeded("drop duplicate tokens", off, [](SimulatedCluster &w) {
+    // Each new stream triggers a poll while replies to earlier polls with the
+    // same tokens are in flight.
     for (int i = 0; i < 30; ++i) {
       w.requestGeneration(0);
       w.run(7ms);
@@ -160,11 +163,11 @@
   });
 }
 
-/// Attempts for each request when the engines refuse three starts in ten.
+/// Returns the attempts per request when the engines refuse 30 % of starts.
 double attemptsPerRequest(bool limitsRetries) {
   SimulatedClusterOptions options;
   options.RefusalRate = 0.3;
-  // Room for all, so that no request still waits when the test ends.
+  // Enough capacity that no request is still waiting when the test ends.
   options.EngineCapacity = 200'000;
   options.EntryMechanisms.LimitRetries = limitsRetries;
   SimulatedCluster world(options);
@@ -188,8 +191,8 @@
   EXPECT_LT(on, 1.15);
 }
 
-/// Seconds until a bundle is everywhere when the key-value service goes down
-/// right after one entry has read it; 30 when it never is.
+/// Returns the seconds until all processes have a bundle when the key-value
+/// service fails right after one entry has read it; 30 when some never get it.
 double propagationSeconds(bool propagates) {
   SimulatedClusterOptions options;
   options.EntryMechanisms.PropagateDocuments = propagates;
@@ -216,9 +219,9 @@
 
 TEST(Mechanism, PropagateDocuments) {
   const double on = propagationSeconds(true);
-  std::printf("spread documents: everywhere after %.2f s\n", on);
+  std::printf("propagate documents: in all processes after %.2f s\n", on);
   EXPECT_LT(on, 3);
-  // Without it only the entry that watches ever gets a bundle.
+  // Without propagation only the entry that watches the service gets a bundle.
   SimulatedClusterOptions off;
   off.EntryMechanisms.PropagateDocuments = false;
   SimulatedCluster world(off);
