--- a/src/sidecar/main.cc
+++ b/src/sidecar/main.cc
@@ -1,5 +1,5 @@
-// drumlanding-sidecar: runs beside an engine and tells the gateways when it is
-// going to leave.
+// drumlanding-sidecar: runs on the VM of an engine and notifies the gateways
+// when the engine is going to leave.
 #include "platform/protocol-codec.h"
 #include "sidecar.h"
 
@@ -10,13 +10,13 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(node_file, "",
-              "[process] file of settings, one --flag=value a line");
+              "[process] settings file, one --flag=value per line");
 DEFINE_string(sidecar_listen, "",
-              "[network] IP:port for the gateways' answers (UDP)");
+              "[network] IP:port at which gateways' messages arrive (UDP)");
 DEFINE_string(engine, "", "[network] IP:port of the engine on this VM");
-DEFINE_string(service, "", "[identity] service that the engine belongs to");
+DEFINE_string(service, "", "[identity] service that the engine serves");
 DEFINE_string(seeds, "",
-              "[network] addresses of some gateways, separated by commas");
+              "[network] initial gateway addresses, separated by commas");
 
 namespace {
 
@@ -28,7 +28,7 @@
 base::Result<sidecar::SidecarSettings> readSidecarSettings(int argc,
                                                            char **argv) {
   const auto process = daemon::readProcessSettings(
-      argc, argv, "drumlanding-sidecar: watches an engine", Flags);
+      argc, argv, "drumlanding-sidecar: monitors the engine on this VM", Flags);
   if (!ok(process))
     return error(process);
   sidecar::SidecarSettings settings;
@@ -58,7 +58,7 @@
   if (!ok(settings))
     base::exitOnBadSettings(error(settings));
   boost::asio::io_context io(1);
-  // Whoever reads the log may go away.
+  // The process that reads the log may exit first.
   std::signal(SIGPIPE, SIG_IGN);
   auto sidecar = sidecar::Sidecar::start(io, value(settings),
                                          platform::makeProtocolCodec());
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -16,26 +16,27 @@
 using daemon::sleepFor;
 namespace wire = gateway::wire;
 
-/// How often the engine is asked: an engine's notice can be as short as 1.5 s,
-/// of which a copy of one generation takes a quarter.
+/// Interval of requests for the engine's report. An engine may announce only
+/// 1.5 s ahead that it leaves, and a copy of one generation takes a quarter of
+/// that.
 constexpr milliseconds PollInterval{50};
 constexpr milliseconds ConnectTimeout{500};
-/// An engine on the same VM answers a report within milliseconds: one that says
-/// nothing for so long hangs, or its connection is dead.
+/// An engine on the same VM sends its report within milliseconds. One that does
+/// not respond within this timeout hangs, or its connection is dead.
 constexpr milliseconds ResponseTimeout{1'000};
-/// Pause before an engine that does not answer is asked again.
+/// Delay before reconnecting to an engine that does not respond.
 constexpr milliseconds ReconnectDelay{250};
-/// A notice is repeated this often, since datagrams get lost.
+/// Interval at which a leaving notice is repeated, since datagrams get lost.
 constexpr milliseconds NoticeRepeatInterval{150};
-/// How often gateways are told that the engine is there, and asked for the
-/// addresses of all.
+/// Interval at which gateways are notified that the engine is present; their
+/// replies list the addresses of all gateways.
 constexpr milliseconds ContactInterval{1'000};
-/// The same while an engine is new, until everybody must have heard of it.
+/// The same interval while an engine is new, so that all gateways discover it.
 constexpr milliseconds InitialContactInterval{200};
 constexpr milliseconds InitialContactPeriod{3'000};
-/// An engine that does not say who it is, is asked again after so many reports.
+/// Number of reports between health checks of an engine whose id is unknown.
 constexpr int ReportsPerHealthCheck = 5;
-/// Most gateways that are told so each time, in turn.
+/// Maximum number of gateways notified per interval, in rotation.
 constexpr std::size_t MaxContacts = 8;
 constexpr int Fine = 200;
 
@@ -79,7 +80,7 @@
   }
 }
 
-/// Sends a request on a kept connection and reads the whole answer.
+/// Sends a request on a persistent connection and reads the complete response.
 asio::awaitable<base::Result<http::Response>>
 Sidecar::sendRequest(http::Connection &connection, http::Request request) {
   request.Headers.push_back({"Host", base::toString(Settings.Engine)});
@@ -106,8 +107,8 @@
   }
 }
 
-/// Asks for reports on one connection as long as it holds: a restarted engine
-/// breaks it.
+/// Requests reports on one connection until it fails. A restart of the engine
+/// closes the connection, so its new id is read on the next one.
 asio::awaitable<void> Sidecar::pollUntilDisconnected() {
   auto opened =
       co_await http::Connection::open(Settings.Engine, ConnectTimeout);
@@ -193,19 +194,19 @@
       message.has_notice())
     return;
   Gateways.heard(Clock.now().Steady, message);
-  // Without an answer from the engine there is nothing to tell.
+  // No notice is sent while the engine does not respond.
   if (message.asks_notice() && !EngineId.empty())
     Socket->answer(from, notice());
 }
 
-/// Asks the gateways in turn, so that each is asked seldom.
+/// Contacts the gateways in rotation, to limit the messages that each gets.
 asio::awaitable<void> Sidecar::maintainContact() {
   for (;;) {
     const std::vector<base::Endpoint> due = Gateways.due(Clock.now().Steady);
     std::vector<base::Endpoint> to;
     for (std::size_t i = 0; i < std::min(due.size(), MaxContacts); ++i)
       to.push_back(due[NextContact++ % due.size()]);
-    // Without an answer from the engine there is nothing to tell.
+    // No notice is sent while the engine does not respond.
     if (!EngineId.empty())
       sendNotice(to);
     const bool isNew = Clock.now().Steady - IdentifiedAt < InitialContactPeriod;
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,5 +1,6 @@
-/// Sidecar: watches the engine on its own VM and tells the gateways when it is
-/// going to leave, at once and also when the platform's store is away.
+/// Sidecar: monitors the engine on its own VM and notifies the gateways when
+/// the engine is going to leave, immediately and also while the platform's
+/// store is unreachable.
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -19,7 +20,7 @@
 
 struct SidecarSettings {
   std::string Name;
-  /// Where the gateways' answers arrive.
+  /// Address at which the gateways' messages arrive.
   base::Endpoint Listen;
   base::Endpoint Engine;
   /// The service and failure domain of the engine.
@@ -57,12 +58,12 @@
   gateway::Peers Gateways;
   std::unique_ptr<gateway::Datagrams> Socket;
   gateway::ServerReport LastReport;
-  /// The engine's id; empty while it does not answer or is not well.
+  /// The engine's id; empty while the engine does not respond or is unhealthy.
   std::string EngineId;
-  /// When the engine on this connection was first met, or the process began.
+  /// When the engine on this connection was identified, or the process started.
   base::Instant IdentifiedAt{};
   base::Instant NotifiedAt{};
-  /// The gateway that is asked next for the list of gateways.
+  /// Index of the gateway to contact next.
   std::size_t NextContact = 0;
 };
 
