--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -25,7 +25,7 @@
 Result<std::string> readFile(const std::string &path) {
   std::ifstream file(path, std::ios::binary);
   if (!file)
-    return base::Error{base::ErrorCode::NotFound, path, "cannot be read"};
+    return base::Error{base::ErrorCode::NotFound, path, "cannot read the file"};
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
@@ -39,7 +39,8 @@
   file << text;
   file.close();
   if (!file)
-    return base::Error{base::ErrorCode::Unavailable, path, "cannot be written"};
+    return base::Error{base::ErrorCode::Unavailable, path,
+                       "cannot write the file"};
   return base::Done{};
 }
 
@@ -55,7 +56,7 @@
 
 int keygen(Arguments args) {
   if (args.size() != 1)
-    return reportError(base::invalid("keygen", "one NAME is expected"),
+    return reportError(base::invalid("keygen", "expected one argument, NAME"),
                        ExitUsage);
   const bundle::KeyPair pair = bundle::makeKeyPair();
   const std::string name = args[0];
@@ -84,8 +85,9 @@
 
 int checkBundle(Arguments args) {
   if (args.size() != 1)
-    return reportError(base::invalid("bundle check", "one FILE is expected"),
-                       ExitUsage);
+    return reportError(
+        base::invalid("bundle check", "expected one argument, FILE"),
+        ExitUsage);
   const auto read = readBundleFile(args[0]);
   if (!ok(read))
     return reportError(error(read));
@@ -103,8 +105,9 @@
 
 int diffBundleFiles(Arguments args) {
   if (args.size() != 2)
-    return reportError(base::invalid("bundle diff", "OLD and NEW are expected"),
-                       ExitUsage);
+    return reportError(
+        base::invalid("bundle diff", "expected two arguments, OLD and NEW"),
+        ExitUsage);
   const auto a = readBundleFile(args[0]);
   const auto b = readBundleFile(args[1]);
   if (!ok(a) || !ok(b))
@@ -123,8 +126,7 @@
       (role != "author" && role != "approver"))
     return reportError(
         base::invalid("bundle sign",
-                      "FILE, --key and --role author or approver "
-                      "are expected"),
+                      "expected FILE, --key and --role author or approver"),
         ExitUsage);
   auto signing = readBundleFile(args[0]);
   if (!ok(signing))
@@ -143,16 +145,17 @@
   if (!ok(secret))
     return reportError(error(secret));
   bundle::SignedBundle &signedBundle = value(signing);
-  // The author writes the form that travels as differences; who signs it off
-  // signs the same bytes.
+  // The author signs the canonical form, from which differences are made; the
+  // approver signs the same bytes.
   if (role == "author")
     signedBundle.Document = bundle::canonical(signedBundle.Document);
   const auto as =
       role == "author" ? bundle::Role::Author : bundle::Role::Approver;
   bundle::sign(signedBundle, as, value(secret));
   if (signedBundle.Author.Key == signedBundle.Approver.Key)
-    return reportError(base::invalid("--key", "the author cannot sign off the "
-                                              "bundle"));
+    return reportError(base::invalid("--key",
+                                     "the author's key cannot also approve the "
+                                     "bundle"));
   const std::string target = outFile.empty() ? args[0] : outFile;
   if (auto r = writeFile(target, bundle::serialise(signedBundle) + "\n", false);
       !ok(r))
@@ -164,7 +167,7 @@
 int explainRequest(Arguments args) {
   if (args.size() < 2)
     return reportError(
-        base::invalid("explain", "needs a request's id and log files"),
+        base::invalid("explain", "expected a request id and log files"),
         ExitUsage);
   std::vector<LogLine> lines;
   for (const std::string &file : args.subspan(1)) {
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -10,12 +10,12 @@
 using Json = nlohmann::json;
 using Lines = std::span<const LogLine>;
 
-/// What a server or process did so long before the request began, or after it
-/// ended, may have to do with it.
+/// Time before a request's first and after its last line in which events of its
+/// servers and processes may be related to it.
 constexpr std::int64_t BeforeMs = 5'000;
 constexpr std::int64_t AfterMs = 2'000;
 
-/// Events of a process that touch all its requests.
+/// Events of a process that affect all its requests.
 constexpr std::string_view ProcessEvents[] = {
     "started",        "stopping",     "stopped",       "store-lost",
     "store-regained", "config-taken", "settings-taken"};
@@ -29,7 +29,7 @@
   return json.is_string() ? json.get<std::string>() : json.dump();
 }
 
-/// What a request's own lines say of who dealt with it, and when.
+/// The processes and servers that a request's own lines name, and their times.
 struct Scope {
   std::set<std::string> Processes;
   std::set<std::string> Servers;
@@ -67,7 +67,8 @@
   return last;
 }
 
-/// A request without an end: its gateway ended first, or the log does.
+/// Returns the cause for a request without an end line: its gateway ended
+/// first, or the log does.
 std::string causeWithoutEnd(Lines all, const LogLine &last) {
   bool isStopping = false;
   for (const LogLine &line : all) {
@@ -75,12 +76,13 @@
       continue;
     isStopping |= line.Event == "stopping";
     if (line.Event == "stopped")
-      return fmt::format("{} was stopped, and its time was up with {} open.",
-                         line.Process, line.number("open"));
+      return fmt::format(
+          "{} was stopped and reached its drain limit with {} requests open.",
+          line.Process, line.number("open"));
     if (line.Event == "started" && !isStopping)
-      return fmt::format("{} died while it served the request.", line.Process);
+      return fmt::format("{} crashed while serving the request.", line.Process);
   }
-  return "The logs end before the request does.";
+  return "The logs end before the request.";
 }
 
 std::string causeOfBrokenStream(Lines trace, const LogLine &end) {
@@ -88,18 +90,18 @@
   const LogLine *begun = findLast(trace, "move-begun");
   const LogLine *continued = findLast(trace, "move-continued");
   if (continued && continued->number("status") != 200)
-    return fmt::format("{} did not take up the moved generation (status {}).",
-                       continued->text("server"), continued->number("status"));
+    return fmt::format(
+        "{} did not continue the migrated generation (status {}).",
+        continued->text("server"), continued->number("status"));
   if (begun && leaving)
-    return fmt::format("{} left; the move began with {} ms left and was not "
-                       "done in time.",
+    return fmt::format("{} left; the migration began with {} ms remaining "
+                       "and was not completed in time.",
                        begun->text("from"), begun->number("ms_left"));
   if (leaving && leaving->TimeMs <= end.TimeMs)
-    return fmt::format("{} left, and the generation's turn to move had not "
-                       "come.",
+    return fmt::format("{} left before the generation's migration began.",
                        leaving->text("server"));
   const LogLine *placed = findLast(trace, "placed");
-  return fmt::format("{} broke the connection without notice ({}).",
+  return fmt::format("{} closed the connection without notice ({}).",
                      placed ? placed->text("server") : "Its server",
                      end.text("how"));
 }
@@ -107,37 +109,39 @@
 std::string causeOfStream(Lines trace, const LogLine &end) {
   const std::string how = end.text("how");
   if (how == "whole")
-    return fmt::format("It was served whole; its longest pause was {} ms.",
+    return fmt::format("It was served completely; its longest pause was {} ms.",
                        end.number("longest_pause_ms"));
   if (how == "caller left")
-    return "The caller left.";
+    return "The caller disconnected.";
   if (how == "no server")
     return "No backend server of its service was usable.";
   if (how == "answered")
-    return "Each server that it met said that it did not run it, or failed.";
+    return "Each server that it was sent to reported that it did not run it, "
+           "or failed.";
   return causeOfBrokenStream(trace, end);
 }
 
 std::string causeOfCall(const LogLine &end) {
   switch (end.number("status")) {
   case 0:
-    return "The caller left.";
+    return "The caller disconnected.";
   case 401:
-    return "Its key is not in the config that the gateway had.";
+    return "Its API key is not in the config that the gateway had.";
   case 404:
-    return "No route has its host and path in the config that the gateway had.";
+    return "No route in the config that the gateway had matches its host and "
+           "path.";
   case 502:
-    return "It was sent, and no whole answer came: it may have run.";
+    return "It was sent and no complete response arrived: it may have run.";
   case 503:
     return end.text("why") == "not admitted"
                ? "The gateway had no config, or was stopping."
-               : "No server took it, and it did not run.";
+               : "No server accepted it, and it did not run.";
   case 504:
     return end.number("sends") == 0
-               ? "Its time was up before a server was reached."
-               : "Its route's time was up while a server worked on it.";
+               ? "It timed out before it was sent to a server."
+               : "Its route's timeout expired while a server processed it.";
   default:
-    return fmt::format("A server answered with status {}.",
+    return fmt::format("A server responded with status {}.",
                        end.number("status"));
   }
 }
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -7,7 +7,7 @@
 #include <sodium.h>
 
 DEFINE_string(platform, "",
-              "[network] IP:port of the platform's service "
+              "[network] IP:port of the platform's store "
               "(roll-out, status)");
 DEFINE_string(control_key, "",
               "[security] shared key of the daemons "
@@ -24,18 +24,19 @@
 constexpr std::string_view Flags[] = {"platform", "control_key", "key",
                                       "role",     "out",         "json"};
 constexpr std::string_view Synopsis =
-    "drumlandingctl: drives drumlanding by signed, versioned bundles\n"
+    "drumlandingctl: configures drumlanding by signed, versioned bundles\n"
     "\n"
-    "  keygen NAME               make a key pair: NAME.key and NAME.pub\n"
-    "  control-key               make the shared key of the daemons\n"
-    "  credential                make an organisation's credential\n"
+    "  keygen NAME               generate a key pair: NAME.key and NAME.pub\n"
+    "  control-key               generate the shared key of the daemons\n"
+    "  credential                generate an organisation's credential\n"
     "  bundle check FILE         check a bundle\n"
-    "  bundle diff OLD NEW       show what differs\n"
+    "  bundle diff OLD NEW       show the differences\n"
     "  bundle sign FILE          sign: --role author|approver --key FILE\n"
-    "  bundle roll-out FILE      put a signed bundle in force: --platform\n"
-    "  bundle status             who has which version: --platform "
+    "  bundle roll-out FILE      roll out a signed bundle: --platform\n"
+    "  bundle status             show versions per place: --platform "
     "--control_key\n"
-    "  explain REQUEST FILE...   tell a request's story from logs of gateways";
+    "  explain REQUEST FILE...   explain a request's outcome from gateways' "
+    "logs";
 
 int runBundle(ctl::Arguments args) {
   const std::string verb = args.empty() ? "" : args[0];
@@ -48,7 +49,8 @@
     return ctl::signBundle(rest, FLAGS_role, FLAGS_key, FLAGS_out);
   if (verb != "roll-out" && verb != "status")
     return ctl::reportError(
-        base::invalid("bundle " + verb, "unknown; --help lists the commands"),
+        base::invalid("bundle " + verb,
+                      "unknown command; --help lists the commands"),
         ctl::ExitUsage);
   const auto platform = base::parseEndpoint("--platform", FLAGS_platform);
   if (!ok(platform))
@@ -78,7 +80,8 @@
     return ctl::explainRequest(args.subspan(1));
   if (verb == "bundle")
     return runBundle(args.subspan(1));
-  return ctl::reportError(base::invalid(verb.empty() ? "drumlandingctl" : verb,
-                                        "no such command; --help lists them"),
-                          ctl::ExitUsage);
+  return ctl::reportError(
+      base::invalid(verb.empty() ? "drumlandingctl" : verb,
+                    "unknown command; --help lists the commands"),
+      ctl::ExitUsage);
 }
--- a/src/ctl/roll-out.cc
+++ b/src/ctl/roll-out.cc
@@ -25,7 +25,7 @@
 constexpr base::milliseconds CallTimeout{2'000};
 constexpr std::size_t ShownKeyDigits = 8;
 
-/// Runs one coroutine to its end.
+/// Runs a coroutine to completion and returns its result.
 template <typename T> T runBlocking(asio::awaitable<T> work) {
   asio::io_context io;
   std::future<T> future = asio::co_spawn(io, std::move(work), asio::use_future);
@@ -37,7 +37,8 @@
   return base::toHex(b.Author.Key).substr(0, ShownKeyDigits);
 }
 
-/// Says who has written the bundle in force and what differs from ours.
+/// Prints the author of the stored bundle and its differences from the proposed
+/// one; returns the exit code.
 int reportConflict(const std::string &storedText,
                    const std::string &proposedText) {
   const auto current = bundle::parseSignedBundle(storedText);
@@ -63,7 +64,7 @@
   if (!ok(stored))
     co_return reportError(error(stored));
   if (value(stored).Value == text) {
-    std::printf("version %llu is in force already\n",
+    std::printf("version %llu is already in force\n",
                 static_cast<unsigned long long>(version));
     co_return ExitSuccess;
   }
@@ -84,23 +85,23 @@
   }
   if (ok(swap))
     co_return reportConflict(value(swap).Current.Value, text);
-  // The answer was lost: the value itself tells whether the swap was ours.
+  // The response was lost: the stored value shows whether the swap succeeded.
   const auto reread = co_await client.read(platform::BundleKey);
   if (!ok(reread)) {
     std::fprintf(stderr,
-                 "may be accepted: the platform does not answer (%s); run "
+                 "may be accepted: the platform does not respond (%s); run "
                  "the same command again\n",
                  describe(error(reread)).c_str());
     co_return ExitFailure;
   }
   if (value(reread).Value != text)
     co_return reportConflict(value(reread).Value, text);
-  std::printf("version %llu is accepted (the answer was lost)\n",
+  std::printf("version %llu is accepted (the response was lost)\n",
               static_cast<unsigned long long>(version));
   co_return ExitSuccess;
 }
 
-/// What one process says of itself.
+/// The versions that one process reports.
 struct ProcessStatus {
   entry::ListedVm Vm;
   bool IsReachable = false;
@@ -194,17 +195,19 @@
 
 int rollOut(Arguments args, const base::Endpoint &platform) {
   if (args.size() != 1)
-    return reportError(base::invalid("bundle roll-out", "one FILE is expected"),
-                       ExitUsage);
+    return reportError(
+        base::invalid("bundle roll-out", "expected one argument, FILE"),
+        ExitUsage);
   const auto read = readBundleFile(args[0]);
   if (!ok(read))
     return reportError(error(read));
   const bundle::SignedBundle &signedBundle = value(read);
   if (signedBundle.Author.Key.empty() || signedBundle.Approver.Key.empty())
     return reportError(base::invalid(args[0],
-                                     "needs the signatures of an author "
+                                     "expected the signatures of an author "
                                      "and of an approver"));
-  // The daemons decide whom they trust; this saves a roll-out in vain.
+  // The daemons check against their trusted keys; this only rejects a bundle
+  // with invalid signatures early.
   const auto verified = bundle::verify(
       signedBundle, {{signedBundle.Author.Key}, {signedBundle.Approver.Key}});
   if (!ok(verified))
--- a/src/ctl/roll-out.h
+++ b/src/ctl/roll-out.h
@@ -1,4 +1,4 @@
-/// Commands of drumlandingctl that talk to the running system.
+/// Commands of drumlandingctl that connect to the running system.
 #pragma once
 
 #include "commands.h"
@@ -6,10 +6,10 @@
 
 namespace drumlanding::ctl {
 
-/// bundle roll-out FILE: puts a signed bundle in force by compare-and-swap.
+/// bundle roll-out FILE: stores a signed bundle by compare-and-swap.
 int rollOut(Arguments args, const base::Endpoint &platform);
 
-/// bundle status: which version is in force, per place, and who lags.
+/// bundle status: prints the version in force per place and lagging processes.
 int status(const base::Endpoint &platform, const std::string &controlKey,
            bool asJson);
 
--- a/test/explain-test.cc
+++ b/test/explain-test.cc
@@ -1,5 +1,5 @@
-// Tests of `drumlandingctl explain`: lines as gateways write them, and the
-// cause that they tell.
+// Tests of `drumlandingctl explain`: log lines as gateways write them, and the
+// cause that is derived from them.
 #include "explain.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,8 @@
        R"({"time_ms":2600,"process":"g1","event":"stream-ended","request":"r","server":"s1","how":"broken off"})"});
   EXPECT_EQ(
       causeOf(lines, "r"),
-      "s1 left; the move began with 60 ms left and was not done in time.");
+      "s1 left; the migration began with 60 ms remaining and was not completed "
+      "in time.");
   const auto trace = explain(lines, "r");
   EXPECT_EQ(value(trace).Lines.size(), 4U);
 }
@@ -50,28 +51,28 @@
       {R"({"time_ms":1000,"process":"g1","event":"placed","request":"r","server":"s1"})",
        R"({"time_ms":1003,"process":"g1","event":"stream-ended","request":"r","server":"","how":"no head"})"});
   EXPECT_EQ(causeOf(lines, "r"),
-            "s1 broke the connection without notice (no head).");
+            "s1 closed the connection without notice (no head).");
 }
 
 TEST(Explain, GatewayCrashedOrStopped) {
   const std::string placed =
       R"({"time_ms":1000,"process":"g1","event":"placed","request":"r","server":"s1"})";
   EXPECT_EQ(causeOf(parseAll({placed}), "r"),
-            "The logs end before the request does.");
+            "The logs end before the request.");
   EXPECT_EQ(
       causeOf(
           parseAll({placed,
                     R"({"time_ms":900,"process":"g1","event":"started"})",
                     R"({"time_ms":2000,"process":"g1","event":"started"})"}),
           "r"),
-      "g1 died while it served the request.");
+      "g1 crashed while serving the request.");
   EXPECT_EQ(
       causeOf(
           parseAll(
               {placed, R"({"time_ms":1500,"process":"g1","event":"stopping"})",
                R"({"time_ms":9000,"process":"g1","event":"stopped","open":2})"}),
           "r"),
-      "g1 was stopped, and its time was up with 2 open.");
+      "g1 was stopped and reached its drain limit with 2 requests open.");
 }
 
 TEST(Explain, CausesByCallStatus) {
@@ -81,13 +82,13 @@
                      rest + "}"});
   };
   EXPECT_EQ(causeOf(ended(R"("status":502,"why":"no whole answer")"), "r"),
-            "It was sent, and no whole answer came: it may have run.");
+            "It was sent and no complete response arrived: it may have run.");
   EXPECT_EQ(causeOf(ended(R"("status":503,"why":"no server")"), "r"),
-            "No server took it, and it did not run.");
+            "No server accepted it, and it did not run.");
   EXPECT_EQ(causeOf(ended(R"("status":504,"why":"x","sends":1)"), "r"),
-            "Its route's time was up while a server worked on it.");
+            "Its route's timeout expired while a server processed it.");
   EXPECT_EQ(causeOf(ended(R"("status":500,"why":"answered")"), "r"),
-            "A server answered with status 500.");
+            "A server responded with status 500.");
   EXPECT_EQ(causeOf({}, "r"), "r: no line of these logs names this request");
 }
 
