--- a/include/drumlanding/http/http.h
+++ b/include/drumlanding/http/http.h
@@ -1,6 +1,6 @@
-/// HTTP/1.1 by Boost.Beast: a small server and client, with server-sent
-/// events. Beast itself stays out of this header, since it costs many seconds
-/// a file.
+/// HTTP/1.1 server and client on Boost.Beast, with server-sent events. This
+/// header does not include Beast, which adds many seconds to the compilation of
+/// each file.
 ///
 ///   auto server = Server::listen(io, endpoint, options, handler);
 ///   asio::awaitable<void> handler(Request r, Exchange &x) {
@@ -36,10 +36,11 @@
   std::vector<Header> Headers;
   std::string Body;
 
-  /// Returns a header's value, or an empty text. Names ignore case.
+  /// Returns a header's value, or an empty text if it is missing. Names are
+  /// case-insensitive.
   std::string_view header(std::string_view name) const;
   std::string_view path() const;
-  /// Returns a parameter of the query, or an empty text.
+  /// Returns a query parameter, or an empty text if it is missing.
   std::string_view query(std::string_view name) const;
 };
 
@@ -50,17 +51,18 @@
   std::vector<Header> Headers;
 };
 
-/// One event of a stream.
+/// One server-sent event.
 struct ServerEvent {
   std::string Id;
   std::string Name;
   std::string Data;
 };
 
-/// Answers one request. Use either `send`; or `beginEvents`, `events` and
-/// `endEvents`; or `beginBody`, `body` and `endBody`. All return false once the
-/// caller is gone. A handler that returns with an open body breaks the
-/// connection off, so that the answer does not look whole.
+/// Sends the response to one request. Use either `send`; or `beginEvents`,
+/// `events` and `endEvents`; or `beginBody`, `body` and `endBody`. All return
+/// false after the caller has disconnected. If a handler returns before
+/// `endBody`, the connection is closed, so that the caller sees a truncated
+/// response.
 class Exchange {
 public:
   virtual ~Exchange() = default;
@@ -68,34 +70,35 @@
   virtual asio::awaitable<bool> beginEvents(std::vector<Header> headers) = 0;
   virtual asio::awaitable<bool> events(std::vector<ServerEvent> events) = 0;
   virtual asio::awaitable<bool> endEvents() = 0;
-  /// Begins an answer in chunks of unknown number.
+  /// Starts a response with chunked transfer coding.
   virtual asio::awaitable<bool> beginBody(int status,
                                           std::vector<Header> headers) = 0;
   virtual asio::awaitable<bool> body(std::string bytes) = 0;
   virtual asio::awaitable<bool> endBody() = 0;
-  /// Announces with this answer that the connection closes after it.
+  /// Closes the connection after this response, and announces this in its
+  /// headers.
   virtual void closeAfterResponse() = 0;
-  /// Calls `gone` when the caller closes the connection in mid-answer.
+  /// Calls `handler` if the caller disconnects during the response.
   virtual void onDisconnect(std::function<void()> handler) = 0;
 };
 
 using Handler = std::function<asio::awaitable<void>(Request, Exchange &)>;
 
-/// What a caller may send, and how long it may take and rest.
+/// Limits on the size of callers' requests and on the time that they take.
 struct CallerLimits {
   std::uint32_t MaxHeaderBytes = 16 << 10;
   std::uint64_t MaxBodyBytes = 1 << 20;
   /// From a request's first byte to the end of its headers.
   base::milliseconds HeaderTimeout{10'000};
-  /// Between requests, and for each read or write within one.
+  /// Between requests, for reading the body of one, and for each write.
   base::milliseconds IdleTimeout{60'000};
 };
 
 struct ServerOptions {
   CallerLimits Limits;
-  /// When set, replaces `Limits` from the next request on.
+  /// If set, overrides `Limits` for each request that begins.
   std::function<CallerLimits()> CurrentLimits;
-  /// What an oversized body is answered with.
+  /// Responses to requests that exceed a limit or cannot be parsed.
   Response BodyTooLarge{413, "text/plain", "The body is too large.\n", {}};
   Response HeaderTooLarge{
       431, "text/plain", "The headers are too large.\n", {}};
@@ -104,18 +107,18 @@
   Response Malformed{400, "text/plain", "The request is malformed.\n", {}};
 };
 
-/// A listening server; each connection runs on a strand of its own.
+/// A listening server; each connection runs on its own strand.
 class Server {
 public:
   static base::Result<std::unique_ptr<Server>>
   listen(asio::io_context &io, const base::Endpoint &endpoint,
          ServerOptions options, Handler handler);
   ~Server();
-  /// Closes the port; open connections go on until their answer is sent.
+  /// Closes the port; open connections are not affected.
   void stopAccepting();
-  /// From now on each answer closes its connection.
+  /// Closes each connection after the response to its next request.
   void closeAfterResponses();
-  /// Closes the connections on which no request is being read or answered.
+  /// Closes the connections on which no request is being read or processed.
   void closeIdle();
 
 private:
@@ -124,14 +127,14 @@
   std::shared_ptr<State> S;
 };
 
-/// What became of a request of ours.
+/// The result of fetch().
 struct FetchResult {
-  /// False when no connection came about: the other side saw nothing.
+  /// False if no connection was established: the server received nothing.
   bool IsConnected = false;
   base::Result<Response> Outcome;
 };
 
-/// Sends one request on a connection of its own and reads the answer.
+/// Sends a request on a new connection and reads the response.
 asio::awaitable<FetchResult> fetch(base::Endpoint to, Request request,
                                    base::milliseconds timeout);
 
@@ -139,18 +142,18 @@
 struct StreamEnd {
   bool IsConnected = false;
   int Status = 0;
-  /// True when the other side ended it properly.
+  /// True if the server ended the response properly.
   bool IsComplete = false;
   std::string Body;
 };
 
-/// What a caller does with each event; false ends the stream.
+/// Handles an event; returns false to end the stream.
 using EventHandler = std::function<bool(const ServerEvent &)>;
-/// Gets the head of the answer.
+/// Handles the headers of the response.
 using HeadersHandler = std::function<void(const std::vector<Header> &)>;
 
 /// Sends a request and reads server-sent events until the end. `idleLimit` is
-/// the longest silence.
+/// the maximum time without data.
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
                                   base::milliseconds idleLimit,
                                   EventHandler onEvent,
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -62,7 +62,8 @@
 /// Splits a byte stream into server-sent events.
 class EventParser {
 public:
-  /// Calls `each` for every event completed by `bytes`; false when it ends.
+  /// Calls `onEvent` for every event that `bytes` completes; returns false once
+  /// it does.
   bool feed(std::string_view bytes, const EventHandler &onEvent) {
     Pending += bytes;
     std::size_t from = 0;
--- a/src/http/connection.cc
+++ b/src/http/connection.cc
@@ -20,9 +20,9 @@
 using base::Result;
 using boost::system::error_code;
 
-/// Most bytes of a body that one read returns.
+/// Maximum number of body bytes that one read returns.
 constexpr std::size_t MaxReadBytes = 16 << 10;
-/// Headers of a server's answer.
+/// Maximum size of the headers of a response.
 constexpr std::uint32_t MaxHeadBytes = 32 << 10;
 
 base::Error toError(const base::Endpoint &to, const error_code &ec) {
@@ -53,7 +53,7 @@
     asio::async_write(
         Stream.socket(), asio::buffer(*text),
         [self = shared_from_this(), text](error_code, std::size_t) {
-          // A failed write shows as a failed read.
+          // After a failed write, the read fails too.
         });
   }
 
@@ -89,7 +89,7 @@
         ec = {};
       if (ec && chunk.empty())
         co_return toError(Peer, ec);
-      // What came before the error counts; the next read meets it again.
+      // Return the data received before an error; the next read reports it.
     }
     co_return chunk;
   }
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -29,7 +29,7 @@
 using boost::system::error_code;
 
 constexpr int ListenBacklog = 1024;
-/// Enough for the head and body of most requests.
+/// Large enough for the headers and body of most requests.
 constexpr std::size_t FirstReadBytes = 4 << 10;
 
 std::string formatEvent(const ServerEvent &event) {
@@ -52,8 +52,9 @@
   return request;
 }
 
-/// True when the message names a transfer coding other than plain chunks, or
-/// both a length and chunks: its end could be read in two ways.
+/// Returns true if the message has a transfer coding other than "chunked", or
+/// both Transfer-Encoding and Content-Length: recipients could disagree on
+/// where it ends (request smuggling).
 template <typename Message> bool isAmbiguous(const Message &message) {
   using beast::http::field;
   const auto coding = message.find(field::transfer_encoding);
@@ -64,7 +65,7 @@
          !beast::iequals(coding->value(), "chunked");
 }
 
-/// One connection's answers.
+/// An exchange on a Beast stream.
 class HttpExchange final : public Exchange {
 public:
   HttpExchange(beast::tcp_stream &stream, bool keepAlive,
@@ -73,7 +74,7 @@
   ~HttpExchange() override {
     if (!IsWatching)
       return;
-    // Only the watch can still be pending here.
+    // Only the wait of watchForDisconnect() can still be pending here.
     error_code ec;
     Stream.socket().cancel(ec);
   }
@@ -165,8 +166,8 @@
     co_return !ec;
   }
 
-  /// Notices when the caller leaves: its socket becomes readable with nothing
-  /// to read. Bytes of a next request end the watch.
+  /// Detects that the caller disconnects: its socket becomes readable without
+  /// data. The first bytes of a next request end the detection.
   void watchForDisconnect() {
     if (IsWatching)
       return;
@@ -233,7 +234,7 @@
       : Io(io), Acceptor(asio::make_strand(io)), Options(std::move(options)),
         Handle(std::move(handler)) {}
 
-  /// A connection as the server sees it between requests.
+  /// An open connection; idle between requests.
   struct ServerConnection {
     explicit ServerConnection(tcp::socket socket) : Stream(std::move(socket)) {}
     beast::tcp_stream Stream;
@@ -339,7 +340,7 @@
   error_code ec;
   parser.header_limit(limits.MaxHeaderBytes);
   parser.body_limit(limits.MaxBodyBytes);
-  // A timeout of the stream itself would close it before the answer.
+  // A timeout of the stream itself would close it before the error response.
   asio::steady_timer timer(connection.Stream.get_executor(),
                            limits.HeaderTimeout);
   bool isTimeout = false;
@@ -374,8 +375,8 @@
   co_return ec;
 }
 
-/// Returns what a request that could not be read is answered with; none when
-/// nobody is there to read it.
+/// Returns the response to a request that could not be read; null if the caller
+/// has disconnected.
 const Response *Server::State::errorResponse(const error_code &ec) const {
   using beast::http::error;
   if (ec == error::body_limit)
--- a/src/http/socket-options.cc
+++ b/src/http/socket-options.cc
@@ -6,7 +6,8 @@
 namespace drumlanding::http {
 namespace {
 
-/// Seconds without traffic before a probe, between two probes, and probes.
+/// TCP keep-alive: seconds without traffic before the first probe, seconds
+/// between probes, and unacknowledged probes after which the connection closes.
 constexpr int KeepAliveIdleSeconds = 1;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 3;
--- a/src/http/socket-options.h
+++ b/src/http/socket-options.h
@@ -1,4 +1,4 @@
-/// Socket options that all HTTP connections share.
+/// Socket options of the HTTP server and of Connection.
 ///
 ///   setSocketOptions(socket);
 #pragma once
@@ -9,12 +9,12 @@
 
 namespace drumlanding::http {
 
-/// A connection whose other side acknowledges nothing for so long is broken
-/// off. Longer than a lost segment's second retransmission (0.2 s + 0.4 s) and
-/// short enough that a silent machine is noticed within a request's patience.
+/// A connection closes when its peer acknowledges no data for this time. Longer
+/// than a lost segment's second retransmission (0.2 s + 0.4 s), and short
+/// enough to detect an unreachable host within the deadline of a request.
 inline constexpr base::milliseconds TcpUserTimeout{3'000};
 
-/// Sends small writes at once, and ends connections to silent machines.
+/// Disables Nagle's algorithm and closes connections to unreachable hosts.
 void setSocketOptions(boost::asio::ip::tcp::socket &socket);
 
 } // namespace drumlanding::http
