--- a/include/drumlanding/daemon/daemon.h
+++ b/include/drumlanding/daemon/daemon.h
@@ -1,5 +1,4 @@
-/// Daemon: what entries and agents share: their flags, worker threads and
-/// signals.
+/// Daemon: flags, worker threads and signal handling of entries and agents.
 ///
 ///   auto settings = readDaemonSettings(argc, argv, "synopsis", extraFlags);
 ///   Runtime runtime(value(settings).WorkerThreads);
@@ -22,7 +21,7 @@
 
 namespace asio = boost::asio;
 
-/// The settings of the daemons that speak to agents.
+/// The settings that entries and agents have in common.
 struct DaemonSettings {
   std::string Name;
   std::string Place;
@@ -33,19 +32,20 @@
   int WorkerThreads = 2;
 };
 
-/// Reads and checks the common flags and `extra`, and sets up the logs.
+/// Reads and validates the common flags and `extraFlags`, and configures
+/// logging.
 base::Result<DaemonSettings>
 readDaemonSettings(int argc, char **argv, std::string_view synopsis,
                    std::span<const std::string_view> extraFlags);
 
-/// A pool of workers over one queue of events.
+/// A pool of worker threads that run one io_context.
 class Runtime {
 public:
   explicit Runtime(int workers) : Workers(workers) {}
   asio::io_context &io() { return Io; }
 
-  /// Starts a coroutine on a strand of its own: its timers and sockets must
-  /// never be touched by two workers at once.
+  /// Starts a coroutine on its own strand, since its timers and sockets are not
+  /// safe for use by two workers at once.
   void spawn(asio::awaitable<void> work);
 
   /// Calls `stop` on the first SIGTERM or SIGINT.
--- a/include/drumlanding/daemon/process.h
+++ b/include/drumlanding/daemon/process.h
@@ -1,5 +1,5 @@
-/// Process: what every process of the system shares: common flags, logs, and
-/// the pages for operators.
+/// Process: flags, logging and operators' HTTP endpoints that all processes
+/// have in common.
 ///
 ///   auto settings = readProcessSettings(argc, argv, "synopsis", extraFlags);
 #pragma once
@@ -24,13 +24,14 @@
   int WorkerThreads = 2;
 };
 
-/// Reads and checks the flags of every process and `extra`, and sets up the
-/// logs.
+/// Reads and validates the flags of every process and `extraFlags`, and
+/// configures logging.
 base::Result<ProcessSettings>
 readProcessSettings(int argc, char **argv, std::string_view synopsis,
                     std::span<const std::string_view> extraFlags);
 
-/// Answers /metrics, /healthz and /readyz; none for any other path.
+/// Handles GET for /metrics, /healthz and /readyz; returns none for all other
+/// requests.
 std::optional<http::Response>
 handleOperatorRequest(const http::Request &request, base::Metrics &metrics,
                       const std::function<bool()> &isReady);
--- a/include/drumlanding/daemon/sleep.h
+++ b/include/drumlanding/daemon/sleep.h
@@ -1,4 +1,4 @@
-/// Sleep: lets a coroutine wait.
+/// Sleep: suspends a coroutine for a given time.
 ///
 ///   co_await sleepFor(std::chrono::milliseconds(5));
 #pragma once
@@ -9,7 +9,7 @@
 
 namespace drumlanding::daemon {
 
-/// Waits on the coroutine's own executor.
+/// Waits on the executor of the coroutine.
 boost::asio::awaitable<void> sleepFor(base::Duration time);
 
 } // namespace drumlanding::daemon
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -9,15 +9,16 @@
 #include <thread>
 #include <vector>
 
-DEFINE_string(control_listen, "",
-              "[network] IP:port for messages of our own processes");
+DEFINE_string(
+    control_listen, "",
+    "[network] IP:port for control messages of drumlanding processes");
 DEFINE_string(control_key, "",
               "[security] shared key of all daemons: 64 hexadecimal digits");
 DEFINE_string(author_keys, "",
-              "[security] public keys that may write bundles, "
+              "[security] public keys of authors of bundles, "
               "hexadecimal, separated by commas");
 DEFINE_string(approver_keys, "",
-              "[security] public keys that may sign bundles off, "
+              "[security] public keys of approvers of bundles, "
               "hexadecimal, separated by commas");
 namespace drumlanding::daemon {
 namespace {
--- a/src/daemon/process.cc
+++ b/src/daemon/process.cc
@@ -9,7 +9,7 @@
 #include <sodium.h>
 #include <vector>
 
-DEFINE_string(name, "", "[identity] name of this process, unique");
+DEFINE_string(name, "", "[identity] unique name of this process");
 DEFINE_string(place, "", "[identity] place of this VM, as in the bundle");
 DEFINE_string(failure_domain, "", "[identity] failure domain of this VM");
 DEFINE_string(log_level, "info", "[logs] debug, info, warning or error");
@@ -64,7 +64,7 @@
 readProcessSettings(int argc, char **argv, std::string_view synopsis,
                     std::span<const std::string_view> extraFlags) {
   if (sodium_init() < 0)
-    return base::invalid("libsodium", "cannot be initialised");
+    return base::invalid("libsodium", "sodium_init() failed");
   std::vector<std::string_view> allowed(std::begin(ProcessFlags),
                                         std::end(ProcessFlags));
   allowed.insert(allowed.end(), extraFlags.begin(), extraFlags.end());
@@ -72,8 +72,9 @@
   if (!ok(positional))
     return error(positional);
   if (!value(positional).empty())
-    return base::invalid(value(positional)[0], "unknown word; --help lists the "
-                                               "flags");
+    return base::invalid(value(positional)[0],
+                         "unexpected argument; --help lists the "
+                         "flags");
   if (auto r = setUpLogging(); !ok(r))
     return error(r);
   if (auto r = checkIdentity(); !ok(r))
