--- a/test/platform-test.cc
+++ b/test/platform-test.cc
@@ -1,4 +1,4 @@
-// Tests of the adapter to the users' platform, by bytes.
+// Tests of the platform's codecs on literal messages.
 #include "platform/protocol-codec.h"
 #include "platform/store-reader.h"
 
@@ -139,7 +139,7 @@
   EXPECT_TRUE(a.HasNotRun && !a.IsOtherServer);
   a = codec.ReadAnswer(r, {421, {}});
   EXPECT_TRUE(a.HasNotRun && a.IsOtherServer);
-  // Without the word a refusal proves nothing.
+  // A refusal without X-Not-Run does not prove that the request did not run.
   EXPECT_FALSE(codec.ReadAnswer(r, {503, {}}).HasNotRun);
 }
 
@@ -258,7 +258,7 @@
       decodeServer("servers/i-7", R"({"backend":"llm","address":"name:80"})")));
 }
 
-/// Entries of other writers name no server to use.
+/// Guards against the use of entries that no server wrote.
 TEST(ServerList, RejectsEntriesWithMissingOrInvalidFields) {
   const nlohmann::json validEntry{
       {"backend", "llm"},  {"address", "10.1.2.3:80"},
--- a/test/sidecar-test.cc
+++ b/test/sidecar-test.cc
@@ -1,5 +1,5 @@
-// A whole sidecar in one process, beside an engine of the test's own and before
-// a gateway that only listens. Waits are on conditions.
+// Runs a sidecar in one process with a fake engine and a fake gateway that only
+// receives. Tests wait for conditions, not for times.
 #include "sidecar.h"
 
 #include "drumlanding/daemon/sleep.h"
@@ -19,7 +19,7 @@
 using daemon::sleepFor;
 namespace wire = gateway::wire;
 
-/// Longer than any test needs, so that a hang ends as a failure.
+/// Longer than any test takes, so that a hang fails the test.
 constexpr seconds TestLimit{20};
 constexpr milliseconds Step{2};
 
@@ -74,7 +74,7 @@
     });
   }
 
-  /// Runs until the condition holds.
+  /// Runs until the condition holds; returns false if it does not in time.
   bool waitUntil(const std::function<bool()> &holds) {
     bool isDone = false;
     const auto wait = [&]() -> asio::awaitable<void> {
@@ -121,9 +121,9 @@
   EXPECT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
 }
 
-/// A connection that died in silence was waited on for ever, and the sidecar
-/// went on telling of the engine before, so that gateways took its successor
-/// for replaced (soak, seed 103).
+/// Guards against an unlimited wait on a connection that fails without a close:
+/// the sidecar kept sending notices of the previous engine, so that gateways
+/// treated its successor as replaced (soak, seed 103).
 TEST_F(SidecarTest, IdentifiesNewEngineAfterSilentConnection) {
   ASSERT_TRUE(waitUntil([&] { return hasNotice("first", false); }));
   HangsOnNextRequest = true;
