--- a/include/drumlanding/http/connection.h
+++ b/include/drumlanding/http/connection.h
@@ -1,6 +1,6 @@
 /// Connection: sends a request to a server and reads the response in chunks.
 ///
-///   auto c = co_await Connection::open(endpoint, limit);
+///   auto c = co_await Connection::open(endpoint, timeout);
 ///   c->send(request);                      // continues during the reads
 ///   Result<ResponseHead> head = co_await c->readHead();
 ///   Result<std::string> chunk = co_await c->read();
@@ -36,9 +36,9 @@
 
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
-  /// Connects within `limit`. After an error the server has received nothing.
+  /// Connects within `timeout`. After an error the server has received nothing.
   static asio::awaitable<base::Result<std::shared_ptr<Connection>>>
-  open(base::Endpoint to, base::milliseconds limit);
+  open(base::Endpoint to, base::milliseconds timeout);
 
   virtual ~Connection() = default;
 
--- a/include/drumlanding/http/http.h
+++ b/include/drumlanding/http/http.h
@@ -152,10 +152,10 @@
 /// Handles the headers of the response.
 using HeadersHandler = std::function<void(const std::vector<Header> &)>;
 
-/// Sends a request and reads server-sent events until the end. `idleLimit` is
+/// Sends a request and reads server-sent events until the end. `idleTimeout` is
 /// the maximum time without data.
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
-                                  base::milliseconds idleLimit,
+                                  base::milliseconds idleTimeout,
                                   EventHandler onEvent,
                                   HeadersHandler onHead = nullptr);
 
--- a/src/ctl/explain.cc
+++ b/src/ctl/explain.cc
@@ -12,8 +12,8 @@
 
 /// Time before a request's first and after its last line in which events of its
 /// servers and processes may be related to it.
-constexpr std::int64_t BeforeMs = 5'000;
-constexpr std::int64_t AfterMs = 2'000;
+constexpr std::int64_t WindowBeforeMs = 5'000;
+constexpr std::int64_t WindowAfterMs = 2'000;
 
 /// Events of a process that affect all its requests.
 constexpr std::string_view ProcessEvents[] = {
@@ -37,7 +37,7 @@
   std::int64_t To = 0;
 
   bool contains(const LogLine &line) const {
-    if (line.TimeMs < From - BeforeMs || line.TimeMs > To + AfterMs)
+    if (line.TimeMs < From - WindowBeforeMs || line.TimeMs > To + WindowAfterMs)
       return false;
     const bool isOfServer = line.Event.starts_with("server-") &&
                             Servers.contains(line.text("server"));
--- a/src/ctl/roll-out.cc
+++ b/src/ctl/roll-out.cc
@@ -39,10 +39,10 @@
 
 /// Prints the author of the stored bundle and its differences from the proposed
 /// one; returns the exit code.
-int reportConflict(const std::string &storedText,
-                   const std::string &proposedText) {
-  const auto current = bundle::parseSignedBundle(storedText);
-  const auto proposed = bundle::parseSignedBundle(proposedText);
+int reportConflict(const std::string &storedBundle,
+                   const std::string &proposedBundle) {
+  const auto current = bundle::parseSignedBundle(storedBundle);
+  const auto proposed = bundle::parseSignedBundle(proposedBundle);
   if (!ok(current) || !ok(proposed))
     return reportError(ok(current) ? error(proposed) : error(current));
   const auto parsed = bundle::parseBundle(value(current).Document);
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -140,11 +140,11 @@
 }
 
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
-                                  base::milliseconds idleLimit,
+                                  base::milliseconds idleTimeout,
                                   EventHandler onEvent, HeadersHandler onHead) {
   StreamEnd end;
   beast::tcp_stream stream(co_await asio::this_coro::executor);
-  stream.expires_after(idleLimit);
+  stream.expires_after(idleTimeout);
   if (const error_code ec = co_await connect(stream, to); ec)
     co_return end;
   end.IsConnected = true;
@@ -169,7 +169,7 @@
   while (!parser.is_done() && shouldContinue) {
     parser.get().body().data = chunk.data();
     parser.get().body().size = chunk.size();
-    stream.expires_after(idleLimit);
+    stream.expires_after(idleTimeout);
     co_await beast::http::async_read_some(
         stream, buffer, parser, asio::redirect_error(use_awaitable, ec));
     if (ec == beast::http::error::need_buffer)
--- a/src/http/connection.cc
+++ b/src/http/connection.cc
@@ -130,13 +130,13 @@
 }
 
 asio::awaitable<Result<std::shared_ptr<Connection>>>
-Connection::open(base::Endpoint to, base::milliseconds limit) {
+Connection::open(base::Endpoint to, base::milliseconds timeout) {
   beast::tcp_stream stream(co_await asio::this_coro::executor);
   error_code ec;
   const auto address = asio::ip::make_address(to.Address, ec);
   if (ec)
     co_return toError(to, ec);
-  stream.expires_after(limit);
+  stream.expires_after(timeout);
   co_await stream.async_connect(tcp::endpoint(address, to.Port),
                                 asio::redirect_error(use_awaitable, ec));
   if (ec)
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -69,8 +69,8 @@
 class HttpExchange final : public Exchange {
 public:
   HttpExchange(beast::tcp_stream &stream, bool keepAlive,
-               base::milliseconds writeLimit)
-      : Stream(stream), KeepAlive(keepAlive), WriteLimit(writeLimit) {}
+               base::milliseconds writeTimeout)
+      : Stream(stream), KeepAlive(keepAlive), WriteTimeout(writeTimeout) {}
   ~HttpExchange() override {
     if (!IsWatching)
       return;
@@ -90,7 +90,7 @@
     message.keep_alive(KeepAlive);
     message.body() = std::move(response.Body);
     message.prepare_payload();
-    Stream.expires_after(WriteLimit);
+    Stream.expires_after(WriteTimeout);
     error_code ec;
     co_await beast::http::async_write(Stream, message,
                                       asio::redirect_error(use_awaitable, ec));
@@ -159,7 +159,7 @@
 
 private:
   asio::awaitable<bool> write(std::string text) {
-    Stream.expires_after(WriteLimit);
+    Stream.expires_after(WriteTimeout);
     error_code ec;
     co_await asio::async_write(Stream, asio::buffer(text),
                                asio::redirect_error(use_awaitable, ec));
@@ -195,7 +195,7 @@
 
   beast::tcp_stream &Stream;
   bool KeepAlive;
-  base::milliseconds WriteLimit;
+  base::milliseconds WriteTimeout;
   bool IsBodyOpen = false;
   bool IsWatching = false;
   std::function<void()> DisconnectHandler;
@@ -249,7 +249,7 @@
                                  beast::flat_buffer &buffer);
   asio::awaitable<bool> waitForBytes(ServerConnection &connection,
                                      beast::flat_buffer &buffer,
-                                     base::milliseconds limit);
+                                     base::milliseconds timeout);
   asio::awaitable<error_code> readRequest(ServerConnection &connection,
                                           beast::flat_buffer &buffer,
                                           Parser &parser,
@@ -320,11 +320,11 @@
 
 asio::awaitable<bool> Server::State::waitForBytes(ServerConnection &connection,
                                                   beast::flat_buffer &buffer,
-                                                  base::milliseconds limit) {
+                                                  base::milliseconds timeout) {
   if (buffer.size() > 0)
     co_return true;
   connection.IsIdle = true;
-  connection.Stream.expires_after(limit);
+  connection.Stream.expires_after(timeout);
   error_code ec;
   const std::size_t n = co_await connection.Stream.async_read_some(
       buffer.prepare(FirstReadBytes), asio::redirect_error(use_awaitable, ec));
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -43,17 +43,17 @@
 } // namespace
 
 Sidecar::Sidecar(asio::io_context &io, SidecarSettings settings,
-                 gateway::Dialect dialect)
-    : Io(io), Settings(std::move(settings)), Codec(std::move(dialect)),
+                 gateway::Dialect codec)
+    : Io(io), Settings(std::move(settings)), Codec(std::move(codec)),
       Log(Settings.Name),
       Gateways(Clock.now().Steady, {Settings.Name, Settings.Listen,
                                     base::secureRandom64(), Settings.Seeds}) {}
 
-base::Result<std::unique_ptr<Sidecar>>
-Sidecar::start(asio::io_context &io, SidecarSettings settings,
-               gateway::Dialect dialect) {
+base::Result<std::unique_ptr<Sidecar>> Sidecar::start(asio::io_context &io,
+                                                      SidecarSettings settings,
+                                                      gateway::Dialect codec) {
   std::unique_ptr<Sidecar> sidecar(
-      new Sidecar(io, std::move(settings), std::move(dialect)));
+      new Sidecar(io, std::move(settings), std::move(codec)));
   Sidecar &s = *sidecar;
   auto datagrams = gateway::Datagrams::open(io, s.Settings.Listen);
   if (!ok(datagrams))
@@ -84,8 +84,8 @@
 asio::awaitable<base::Result<http::Response>>
 Sidecar::sendRequest(http::Connection &connection, http::Request request) {
   request.Headers.push_back({"Host", base::toString(Settings.Engine)});
-  asio::steady_timer limit(Io, ResponseTimeout);
-  limit.async_wait([weak = connection.weak_from_this()](error_code ec) {
+  asio::steady_timer timeout(Io, ResponseTimeout);
+  timeout.async_wait([weak = connection.weak_from_this()](error_code ec) {
     const auto expired = weak.lock();
     if (!ec && expired)
       expired->close();
@@ -122,10 +122,10 @@
         co_return;
       identifyEngine(Codec.ReadHealth(value(health)));
     }
-    const auto answer = co_await sendRequest(*connection, Codec.ToReport());
-    if (!ok(answer))
+    const auto response = co_await sendRequest(*connection, Codec.ToReport());
+    if (!ok(response))
       co_return;
-    const auto report = Codec.ReadReport(value(answer));
+    const auto report = Codec.ReadReport(value(response));
     if (ok(report))
       applyReport(value(report));
     co_await sleepFor(PollInterval);
@@ -164,7 +164,7 @@
   return all.empty() ? Settings.Seeds : all;
 }
 
-std::string Sidecar::notice() const {
+std::string Sidecar::encodeNotice() const {
   wire::Gossip message;
   message.set_name(Settings.Name);
   message.set_address(base::toString(Settings.Listen));
@@ -181,9 +181,9 @@
   return message.SerializeAsString();
 }
 
-void Sidecar::sendNotice(const std::vector<base::Endpoint> &to) {
-  const std::string bytes = notice();
-  for (const base::Endpoint &gateway : to)
+void Sidecar::sendNotice(const std::vector<base::Endpoint> &gateways) {
+  const std::string bytes = encodeNotice();
+  for (const base::Endpoint &gateway : gateways)
     Socket->send(gateway, bytes);
 }
 
@@ -196,19 +196,19 @@
   Gateways.heard(Clock.now().Steady, message);
   // No notice is sent while the engine does not respond.
   if (message.asks_notice() && !EngineId.empty())
-    Socket->answer(from, notice());
+    Socket->answer(from, encodeNotice());
 }
 
 /// Contacts the gateways in rotation, to limit the messages that each gets.
 asio::awaitable<void> Sidecar::maintainContact() {
   for (;;) {
     const std::vector<base::Endpoint> due = Gateways.due(Clock.now().Steady);
-    std::vector<base::Endpoint> to;
+    std::vector<base::Endpoint> gateways;
     for (std::size_t i = 0; i < std::min(due.size(), MaxContacts); ++i)
-      to.push_back(due[NextContact++ % due.size()]);
+      gateways.push_back(due[NextContact++ % due.size()]);
     // No notice is sent while the engine does not respond.
     if (!EngineId.empty())
-      sendNotice(to);
+      sendNotice(gateways);
     const bool isNew = Clock.now().Steady - IdentifiedAt < InitialContactPeriod;
     co_await sleepFor(isNew ? InitialContactInterval : ContactInterval);
   }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -31,23 +31,22 @@
 
 class Sidecar {
 public:
-  static base::Result<std::unique_ptr<Sidecar>> start(asio::io_context &io,
-                                                      SidecarSettings settings,
-                                                      gateway::Dialect dialect);
+  static base::Result<std::unique_ptr<Sidecar>>
+  start(asio::io_context &io, SidecarSettings settings, gateway::Dialect codec);
 
 private:
   Sidecar(asio::io_context &io, SidecarSettings settings,
-          gateway::Dialect dialect);
+          gateway::Dialect codec);
   asio::awaitable<void> watchEngine();
   asio::awaitable<void> pollUntilDisconnected();
   asio::awaitable<base::Result<http::Response>>
   sendRequest(http::Connection &connection, http::Request request);
   void receive(std::string_view bytes, const gateway::Datagrams::Sender &from);
-  std::string notice() const;
+  std::string encodeNotice() const;
   asio::awaitable<void> maintainContact();
   void identifyEngine(const std::string &id);
   void applyReport(const gateway::ServerReport &report);
-  void sendNotice(const std::vector<base::Endpoint> &to);
+  void sendNotice(const std::vector<base::Endpoint> &gateways);
   std::vector<base::Endpoint> liveGateways() const;
 
   asio::io_context &Io;
--- a/test/sidecar-test.cc
+++ b/test/sidecar-test.cc
@@ -51,7 +51,7 @@
     SidecarAddress = settings.Listen;
     auto started = Sidecar::start(Io, settings, platform::makeProtocolCodec());
     ASSERT_TRUE(ok(started)) << describe(error(started));
-    Subject = std::move(value(started));
+    Instance = std::move(value(started));
   }
 
   asio::awaitable<void> serve(http::Request, http::Exchange &x) {
@@ -99,7 +99,7 @@
   std::vector<wire::EngineNotice> Notices;
   std::unique_ptr<http::Server> Engine;
   std::unique_ptr<gateway::Datagrams> Gateway;
-  std::unique_ptr<Sidecar> Subject;
+  std::unique_ptr<Sidecar> Instance;
 };
 
 TEST_F(SidecarTest, NotifiesOfEngineAndOfItsLeaving) {
