--- a/include/drumlanding/base/log.h
+++ b/include/drumlanding/base/log.h
@@ -1,4 +1,4 @@
-/// Log: short messages with the name of the component that writes them.
+/// Log: short messages, each with the name of the component that writes it.
 ///
 ///   const Log log("entry.route");
 ///   log.info("route request={} server={}", id, server);
--- a/src/ctl/roll-out.cc
+++ b/src/ctl/roll-out.cc
@@ -206,8 +206,8 @@
     return reportError(base::invalid(args[0],
                                      "expected the signatures of an author "
                                      "and of an approver"));
-  // The daemons check against their trusted keys; this only rejects a bundle
-  // with invalid signatures early.
+  // The daemons decide which keys they trust. This check only rejects invalid
+  // signatures before a roll-out that the daemons would refuse.
   const auto verified = bundle::verify(
       signedBundle, {{signedBundle.Author.Key}, {signedBundle.Approver.Key}});
   if (!ok(verified))
--- a/src/http/connection.cc
+++ b/src/http/connection.cc
@@ -53,7 +53,7 @@
     asio::async_write(
         Stream.socket(), asio::buffer(*text),
         [self = shared_from_this(), text](error_code, std::size_t) {
-          // After a failed write, the read fails too.
+          // A failed write is reported by the next read, which fails too.
         });
   }
 
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -340,7 +340,7 @@
   error_code ec;
   parser.header_limit(limits.MaxHeaderBytes);
   parser.body_limit(limits.MaxBodyBytes);
-  // A timeout of the stream itself would close it before the error response.
+  // The stream's own timeout would close it before the error response is sent.
   asio::steady_timer timer(connection.Stream.get_executor(),
                            limits.HeaderTimeout);
   bool isTimeout = false;
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -16,9 +16,9 @@
 using daemon::sleepFor;
 namespace wire = gateway::wire;
 
-/// Interval of requests for the engine's report. An engine may announce only
-/// 1.5 s ahead that it leaves, and a copy of one generation takes a quarter of
-/// that.
+/// Interval at which the engine's report is requested. An engine may announce
+/// that it leaves only 1.5 s ahead, and the copy of one generation takes a
+/// quarter of that time.
 constexpr milliseconds PollInterval{50};
 constexpr milliseconds ConnectTimeout{500};
 /// An engine on the same VM sends its report within milliseconds. One that does
