--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -62,7 +62,8 @@
 /// Splits a byte stream into server-sent events.
 class EventParser {
 public:
-  /// Calls `each` for every event completed by `bytes`; false when it ends.
+  /// Calls `onEvent` for every event that `bytes` completes; returns false once
+  /// it does.
   bool feed(std::string_view bytes, const EventHandler &onEvent) {
     Pending += bytes;
     std::size_t from = 0;
@@ -139,11 +140,11 @@
 }
 
 asio::awaitable<StreamEnd> stream(base::Endpoint to, Request request,
-                                  base::milliseconds idleLimit,
+                                  base::milliseconds idleTimeout,
                                   EventHandler onEvent, HeadersHandler onHead) {
   StreamEnd end;
   beast::tcp_stream stream(co_await asio::this_coro::executor);
-  stream.expires_after(idleLimit);
+  stream.expires_after(idleTimeout);
   if (const error_code ec = co_await connect(stream, to); ec)
     co_return end;
   end.IsConnected = true;
@@ -168,7 +169,7 @@
   while (!parser.is_done() && shouldContinue) {
     parser.get().body().data = chunk.data();
     parser.get().body().size = chunk.size();
-    stream.expires_after(idleLimit);
+    stream.expires_after(idleTimeout);
     co_await beast::http::async_read_some(
         stream, buffer, parser, asio::redirect_error(use_awaitable, ec));
     if (ec == beast::http::error::need_buffer)
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -29,7 +29,7 @@
 using boost::system::error_code;
 
 constexpr int ListenBacklog = 1024;
-/// Enough for the head and body of most requests.
+/// Large enough for the headers and body of most requests.
 constexpr std::size_t FirstReadBytes = 4 << 10;
 
 std::string formatEvent(const ServerEvent &event) {
@@ -52,8 +52,9 @@
   return request;
 }
 
-/// True when the message names a transfer coding other than plain chunks, or
-/// both a length and chunks: its end could be read in two ways.
+/// Returns true if the message has a transfer coding other than "chunked", or
+/// both Transfer-Encoding and Content-Length: recipients could disagree on
+/// where it ends (request smuggling).
 template <typename Message> bool isAmbiguous(const Message &message) {
   using beast::http::field;
   const auto coding = message.find(field::transfer_encoding);
@@ -64,16 +65,16 @@
          !beast::iequals(coding->value(), "chunked");
 }
 
-/// One connection's answers.
+/// An exchange on a Beast stream.
 class HttpExchange final : public Exchange {
 public:
   HttpExchange(beast::tcp_stream &stream, bool keepAlive,
-               base::milliseconds writeLimit)
-      : Stream(stream), KeepAlive(keepAlive), WriteLimit(writeLimit) {}
+               base::milliseconds writeTimeout)
+      : Stream(stream), KeepAlive(keepAlive), WriteTimeout(writeTimeout) {}
   ~HttpExchange() override {
     if (!IsWatching)
       return;
-    // Only the watch can still be pending here.
+    // Only the wait of watchForDisconnect() can still be pending here.
     error_code ec;
     Stream.socket().cancel(ec);
   }
@@ -89,7 +90,7 @@
     message.keep_alive(KeepAlive);
     message.body() = std::move(response.Body);
     message.prepare_payload();
-    Stream.expires_after(WriteLimit);
+    Stream.expires_after(WriteTimeout);
     error_code ec;
     co_await beast::http::async_write(Stream, message,
                                       asio::redirect_error(use_awaitable, ec));
@@ -158,15 +159,15 @@
 
 private:
   asio::awaitable<bool> write(std::string text) {
-    Stream.expires_after(WriteLimit);
+    Stream.expires_after(WriteTimeout);
     error_code ec;
     co_await asio::async_write(Stream, asio::buffer(text),
                                asio::redirect_error(use_awaitable, ec));
     co_return !ec;
   }
 
-  /// Notices when the caller leaves: its socket becomes readable with nothing
-  /// to read. Bytes of a next request end the watch.
+  /// Detects that the caller disconnects: its socket becomes readable without
+  /// data. The first bytes of a next request end the detection.
   void watchForDisconnect() {
     if (IsWatching)
       return;
@@ -194,7 +195,7 @@
 
   beast::tcp_stream &Stream;
   bool KeepAlive;
-  base::milliseconds WriteLimit;
+  base::milliseconds WriteTimeout;
   bool IsBodyOpen = false;
   bool IsWatching = false;
   std::function<void()> DisconnectHandler;
@@ -233,7 +234,7 @@
       : Io(io), Acceptor(asio::make_strand(io)), Options(std::move(options)),
         Handle(std::move(handler)) {}
 
-  /// A connection as the server sees it between requests.
+  /// An open connection; idle between requests.
   struct ServerConnection {
     explicit ServerConnection(tcp::socket socket) : Stream(std::move(socket)) {}
     beast::tcp_stream Stream;
@@ -248,7 +249,7 @@
                                  beast::flat_buffer &buffer);
   asio::awaitable<bool> waitForBytes(ServerConnection &connection,
                                      beast::flat_buffer &buffer,
-                                     base::milliseconds limit);
+                                     base::milliseconds timeout);
   asio::awaitable<error_code> readRequest(ServerConnection &connection,
                                           beast::flat_buffer &buffer,
                                           Parser &parser,
@@ -319,11 +320,11 @@
 
 asio::awaitable<bool> Server::State::waitForBytes(ServerConnection &connection,
                                                   beast::flat_buffer &buffer,
-                                                  base::milliseconds limit) {
+                                                  base::milliseconds timeout) {
   if (buffer.size() > 0)
     co_return true;
   connection.IsIdle = true;
-  connection.Stream.expires_after(limit);
+  connection.Stream.expires_after(timeout);
   error_code ec;
   const std::size_t n = co_await connection.Stream.async_read_some(
       buffer.prepare(FirstReadBytes), asio::redirect_error(use_awaitable, ec));
@@ -339,7 +340,7 @@
   error_code ec;
   parser.header_limit(limits.MaxHeaderBytes);
   parser.body_limit(limits.MaxBodyBytes);
-  // A timeout of the stream itself would close it before the answer.
+  // The stream's own timeout would close it before the error response is sent.
   asio::steady_timer timer(connection.Stream.get_executor(),
                            limits.HeaderTimeout);
   bool isTimeout = false;
@@ -374,8 +375,8 @@
   co_return ec;
 }
 
-/// Returns what a request that could not be read is answered with; none when
-/// nobody is there to read it.
+/// Returns the response to a request that could not be read; null if the caller
+/// has disconnected.
 const Response *Server::State::errorResponse(const error_code &ec) const {
   using beast::http::error;
   if (ec == error::body_limit)
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,5 +1,6 @@
-/// Sidecar: watches the engine on its own VM and tells the gateways when it is
-/// going to leave, at once and also when the platform's store is away.
+/// Sidecar: monitors the engine on its own VM and notifies the gateways when
+/// the engine is going to leave, immediately and also while the platform's
+/// store is unreachable.
 #pragma once
 
 #include "drumlanding/base/result.h"
@@ -19,7 +20,7 @@
 
 struct SidecarSettings {
   std::string Name;
-  /// Where the gateways' answers arrive.
+  /// Address at which the gateways' messages arrive.
   base::Endpoint Listen;
   base::Endpoint Engine;
   /// The service and failure domain of the engine.
@@ -32,22 +33,22 @@
 public:
   static base::Result<std::unique_ptr<Sidecar>>
   start(asio::io_context &io, SidecarSettings settings,
-        gateway::ProtocolCodec dialect);
+        gateway::ProtocolCodec codec);
 
 private:
   Sidecar(asio::io_context &io, SidecarSettings settings,
-          gateway::ProtocolCodec dialect);
+          gateway::ProtocolCodec codec);
   asio::awaitable<void> watchEngine();
   asio::awaitable<void> pollUntilDisconnected();
   asio::awaitable<base::Result<http::Response>>
   sendRequest(http::Connection &connection, http::Request request);
   void receive(std::string_view bytes,
                const gateway::DatagramSocket::Sender &from);
-  std::string notice() const;
+  std::string encodeNotice() const;
   asio::awaitable<void> maintainContact();
   void identifyEngine(const std::string &id);
   void applyReport(const gateway::ServerReport &report);
-  void sendNotice(const std::vector<base::Endpoint> &to);
+  void sendNotice(const std::vector<base::Endpoint> &gateways);
   std::vector<base::Endpoint> liveGateways() const;
 
   asio::io_context &Io;
@@ -58,12 +59,12 @@
   gateway::Peers Gateways;
   std::unique_ptr<gateway::DatagramSocket> Socket;
   gateway::ServerReport LastReport;
-  /// The engine's id; empty while it does not answer or is not well.
+  /// The engine's id; empty while the engine does not respond or is unhealthy.
   std::string EngineId;
-  /// When the engine on this connection was first met, or the process began.
+  /// When the engine on this connection was identified, or the process started.
   base::Instant IdentifiedAt{};
   base::Instant NotifiedAt{};
-  /// The gateway that is asked next for the list of gateways.
+  /// Index of the gateway to contact next.
   std::size_t NextContact = 0;
 };
 
