--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -49,9 +49,9 @@
       Gateways(Clock.now().Steady, {Settings.Name, Settings.Listen,
                                     base::secureRandom64(), Settings.Seeds}) {}
 
-base::Result<std::unique_ptr<Sidecar>> Sidecar::start(asio::io_context &io,
-                                                      SidecarSettings settings,
-                                                      gateway::ProtocolCodec codec) {
+base::Result<std::unique_ptr<Sidecar>>
+Sidecar::start(asio::io_context &io, SidecarSettings settings,
+               gateway::ProtocolCodec codec) {
   std::unique_ptr<Sidecar> sidecar(
       new Sidecar(io, std::move(settings), std::move(codec)));
   Sidecar &s = *sidecar;
