--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -1,7 +1,7 @@
 // The rules of the scheduler and router, each with the failure it is for.
 #include "drumlanding/agent/scheduler.h"
 #include "drumlanding/entry/router.h"
-#include "policy-run.h"
+#include "policy-simulation.h"
 
 #include <gtest/gtest.h>
 
@@ -180,11 +180,11 @@
     tools::PolicyOptions o;
     o.Lengths = lengths;
     o.Load = 1.4;
-    o.Saturation = 1'300;
-    o.Time = base::seconds(300);
-    const auto own = tools::runPolicy(o);
+    o.SaturationTokensPerSecond = 1'300;
+    o.ArrivalTime = base::seconds(300);
+    const auto own = tools::simulatePolicy(o);
     o.Policy = tools::PolicyKind::Greedy;
-    const auto greedy = tools::runPolicy(o);
+    const auto greedy = tools::simulatePolicy(o);
     EXPECT_LT(own.PreemptionsPerThousand, 0.2 * greedy.PreemptionsPerThousand);
     EXPECT_LT(own.StallMsPerRequest, 0.2 * greedy.StallMsPerRequest);
     EXPECT_LT(own.GapP999Ms, 0.8 * greedy.GapP999Ms);
@@ -196,11 +196,11 @@
   tools::PolicyOptions o;
   o.Lengths = tools::LengthSource::Pwani;
   o.Load = 1.2;
-  o.Saturation = 1'200;
-  o.Time = base::seconds(300);
-  const auto plain = tools::runPolicy(o);
+  o.SaturationTokensPerSecond = 1'200;
+  o.ArrivalTime = base::seconds(300);
+  const auto plain = tools::simulatePolicy(o);
   o.StallWeight = 4;
-  const auto careful = tools::runPolicy(o);
+  const auto careful = tools::simulatePolicy(o);
   EXPECT_LE(careful.StallMsPerRequest, plain.StallMsPerRequest);
 }
 
--- a/tools/capacity-bench.cc
+++ b/tools/capacity-bench.cc
@@ -83,7 +83,7 @@
 }
 
 /// Makes signed bundles of any size.
-struct Operator {
+struct BundleSigner {
   bundle::KeyPair Author = bundle::makeKeyPair();
   bundle::KeyPair Approver = bundle::makeKeyPair();
   bundle::TrustedKeys trusted() const {
@@ -121,7 +121,7 @@
   }
 };
 
-const Operator TheOperator;
+const BundleSigner Signer;
 base::ManualClock Time;
 
 std::unique_ptr<agent::Core> makeAgent() {
@@ -131,13 +131,13 @@
   o.Place = "p";
   o.Incarnation = 7;
   o.StartedAt = Time.now().Wall;
-  o.Trusted = TheOperator.trusted();
+  o.Trusted = Signer.trusted();
   o.Scheduling.CapacityTokens = 1'000'000'000;
   o.Scheduling.StepTarget = base::milliseconds(0);
   auto core = std::make_unique<agent::Core>(std::move(o));
   wire::Request push;
   push.mutable_push()->mutable_document()->set_body(
-      TheOperator.signedBundle(1, 1, 1));
+      Signer.signedBundle(1, 1, 1));
   core->handle(Time.now(), agent::RequestArrived{1, push});
   core->handle(Time.now(),
                agent::ServerObserved{true, 1'000'000'000, {{"m", "1", {}}}});
@@ -168,7 +168,7 @@
 }
 
 /// Feeds `tokens` tokens to each of `n` streams, in rounds of one.
-void feed(agent::Core &core, int n, int from, int tokens) {
+void deliverTokens(agent::Core &core, int n, int from, int tokens) {
   for (int t = from; t < from + tokens; ++t)
     for (int i = 0; i < n; ++i)
       core.handle(Time.now(),
@@ -177,7 +177,7 @@
                                        {"half.8e238cdb.3 "}});
 }
 
-void agentStreams() {
+void measureAgentStreams() {
   std::vector<Sample> memory;
   std::vector<Sample> cpu;
   std::vector<Sample> bytes;
@@ -185,11 +185,11 @@
     auto core = makeAgent();
     const double before = heapBytes();
     startStreams(*core, n);
-    feed(*core, n, 0, 1);
+    deliverTokens(*core, n, 0, 1);
     memory.push_back({double(n), heapBytes() - before});
     const double start = cpuMicros();
     constexpr int Tokens = 360;
-    feed(*core, n, 1, Tokens);
+    deliverTokens(*core, n, 1, Tokens);
     cpu.push_back({double(n) * Tokens, cpuMicros() - start});
     bytes.push_back({double(n) * Tokens, heapBytes() - before});
   }
@@ -198,7 +198,7 @@
   printFit("agent: heap per buffered token", "bytes", "token", bytes);
 }
 
-void agentPolls() {
+void measureAgentPolls() {
   std::vector<Sample> cpu;
   std::vector<Sample> bytes;
   for (int n : {40, 80, 160}) {
@@ -208,7 +208,7 @@
     double spent = 0;
     double sent = 0;
     for (int t = 0; t < Rounds; ++t) {
-      feed(*core, n, t, 1);
+      deliverTokens(*core, n, t, 1);
       wire::Request request;
       request.set_sender("entry-1");
       for (int i = 0; i < n; ++i) {
@@ -236,12 +236,12 @@
   entry::CoreOptions o;
   o.Name = "entry-1";
   o.Place = "p";
-  o.Trusted = TheOperator.trusted();
+  o.Trusted = Signer.trusted();
   o.SubsetSize = 1'000'000;
   auto core = std::make_unique<entry::Core>(std::move(o));
-  core->handle(Time.now(),
-               entry::DocumentRead{wire::BUNDLE,
-                                   TheOperator.signedBundle(1, 1, servers)});
+  core->handle(
+      Time.now(),
+      entry::DocumentRead{wire::BUNDLE, Signer.signedBundle(1, 1, servers)});
   entry::VmsListed list;
   for (int i = 0; i < servers; ++i)
     list.Vms.push_back(
@@ -251,7 +251,7 @@
 }
 
 /// Answers every Sync of a round, as the agents would.
-double syncRound(entry::Core &core, double &bytes) {
+double runSyncRound(entry::Core &core, double &bytes) {
   Time.advance(600ms);
   double spent = 0;
   double start = cpuMicros();
@@ -283,7 +283,7 @@
   return spent;
 }
 
-void entryServers() {
+void measureEntryServers() {
   std::vector<Sample> memory;
   std::vector<Sample> cpu;
   std::vector<Sample> wire;
@@ -291,13 +291,13 @@
     const double before = heapBytes();
     auto core = makeEntry(n);
     double bytes = 0;
-    syncRound(*core, bytes);
+    runSyncRound(*core, bytes);
     memory.push_back({double(n), heapBytes() - before});
     bytes = 0;
     double spent = 0;
     constexpr int Rounds = 20;
     for (int i = 0; i < Rounds; ++i)
-      spent += syncRound(*core, bytes);
+      spent += runSyncRound(*core, bytes);
     cpu.push_back({double(n) * Rounds, spent});
     wire.push_back({double(n) * Rounds, bytes});
   }
@@ -306,14 +306,14 @@
   printFit("link: bytes per report", "bytes", "report", wire);
 }
 
-void entryStreams() {
+void measureEntryStreams() {
   std::vector<Sample> memory;
   std::vector<Sample> cpu;
   std::vector<Sample> requestCpu;
   for (int n : {100, 400, 1'600}) {
     auto core = makeEntry(20);
     double bytes = 0;
-    syncRound(*core, bytes);
+    runSyncRound(*core, bytes);
     const double before = heapBytes();
     double spent = 0;
     std::vector<std::pair<std::string, std::string>> streams;
@@ -374,42 +374,42 @@
   printFit("entry: cpu per token", "us", "token", cpu);
 }
 
-void bundles() {
+void measureBundles() {
   std::vector<Sample> bytes;
   std::vector<Sample> cpu;
   std::vector<Sample> memory;
   for (int n : {10, 100, 370}) {
-    const std::string text = TheOperator.signedBundle(1, n, 100);
+    const std::string text = Signer.signedBundle(1, n, 100);
     bytes.push_back({double(n), double(text.size())});
     const double before = heapBytes();
-    plan::DocumentStore store(TheOperator.trusted());
+    plan::DocumentStore store(Signer.trusted());
     const double start = cpuMicros();
     store.offer({}, wire::BUNDLE, text);
     cpu.push_back({double(n), cpuMicros() - start});
     memory.push_back({double(n), heapBytes() - before});
   }
   printFit("bundle: bytes per organisation", "bytes", "organisation", bytes);
-  std::vector<Sample> change;
+  std::vector<Sample> deltaBytes;
   for (int n : {10, 100, 370}) {
-    plan::DocumentStore store(TheOperator.trusted());
-    store.offer({}, wire::BUNDLE, TheOperator.signedBundle(1, n, 100));
-    store.offer({}, wire::BUNDLE, TheOperator.signedBundle(2, n + 1, 100));
-    change.push_back(
+    plan::DocumentStore store(Signer.trusted());
+    store.offer({}, wire::BUNDLE, Signer.signedBundle(1, n, 100));
+    store.offer({}, wire::BUNDLE, Signer.signedBundle(2, n + 1, 100));
+    deltaBytes.push_back(
         {double(n), double(store.pack(wire::BUNDLE, 1).body().size())});
   }
-  printFit("bundle: bytes per change", "bytes", "organisation", change);
+  printFit("bundle: bytes per change", "bytes", "organisation", deltaBytes);
   printFit("bundle: cpu to check one", "us", "organisation", cpu);
   printFit("bundle: heap per organisation", "bytes", "organisation", memory);
 }
 
-void plans() {
+void measurePlans() {
   std::vector<Sample> bytes;
-  std::vector<Sample> made;
-  std::vector<Sample> read;
+  std::vector<Sample> makeCpu;
+  std::vector<Sample> parseCpu;
   std::vector<Sample> memory;
   for (int n : {100, 1'000, 4'500}) {
     const auto signedText =
-        bundle::parseSignedBundle(TheOperator.signedBundle(1, 1, n));
+        bundle::parseSignedBundle(Signer.signedBundle(1, 1, n));
     const auto b = bundle::parseBundle(base::value(signedText).Document);
     std::vector<plan::PlannedServer> servers;
     for (int i = 0; i < n; ++i)
@@ -417,22 +417,22 @@
     const plan::Plan first = plan::makePlan(base::value(b), servers, {});
     double start = cpuMicros();
     plan::makePlan(base::value(b), servers, first);
-    made.push_back({double(n), cpuMicros() - start});
+    makeCpu.push_back({double(n), cpuMicros() - start});
     const std::string text = plan::serialise(first);
     bytes.push_back({double(n), double(text.size())});
     const double before = heapBytes();
     start = cpuMicros();
     const auto again = plan::parsePlan(text);
-    read.push_back({double(n), cpuMicros() - start});
+    parseCpu.push_back({double(n), cpuMicros() - start});
     memory.push_back({double(n), heapBytes() - before});
   }
   printFit("plan: bytes per server", "bytes", "server", bytes);
-  printFit("plan: cpu to make one", "us", "server", made);
-  printFit("plan: cpu to read one", "us", "server", read);
+  printFit("plan: cpu to make one", "us", "server", makeCpu);
+  printFit("plan: cpu to read one", "us", "server", parseCpu);
   printFit("plan: heap per server", "bytes", "server", memory);
 }
 
-void seals() {
+void measureSeals() {
   const wire::ControlKey key{std::string(32, 'k')};
   std::vector<Sample> cpu;
   for (int size : {100, 1'000, 10'000}) {
@@ -455,12 +455,12 @@
   if (sodium_init() < 0)
     return 1;
   std::printf("sizes and values, then the line through them\n");
-  agentStreams();
-  agentPolls();
-  entryServers();
-  entryStreams();
-  bundles();
-  plans();
-  seals();
+  measureAgentStreams();
+  measureAgentPolls();
+  measureEntryServers();
+  measureEntryStreams();
+  measureBundles();
+  measurePlans();
+  measureSeals();
   return 0;
 }
--- a/tools/engine-model.cc
+++ b/tools/engine-model.cc
@@ -7,7 +7,7 @@
 namespace drumlanding::tools {
 namespace {
 
-constexpr std::uint32_t LongestOutput = 20'000;
+constexpr std::uint32_t MaxOutputTokens = 20'000;
 
 double normal(base::Random &random) {
   const double u = std::max(random.unit(), 1e-12);
@@ -19,12 +19,12 @@
   return median * std::exp(sigma * normal(random));
 }
 
-double pareto(base::Random &random, double least, double alpha) {
-  return least / std::pow(std::max(random.unit(), 1e-9), 1 / alpha);
+double pareto(base::Random &random, double min, double alpha) {
+  return min / std::pow(std::max(random.unit(), 1e-9), 1 / alpha);
 }
 
-std::uint32_t clampTokens(double n, std::uint32_t most) {
-  return static_cast<std::uint32_t>(std::clamp<double>(n, 1, most));
+std::uint32_t clampTokens(double n, std::uint32_t max) {
+  return static_cast<std::uint32_t>(std::clamp<double>(n, 1, max));
 }
 
 /// Short answers with a heavy tail: two lines or forty. The prompt holds the
@@ -34,7 +34,7 @@
   const double length =
       isLong ? pareto(random, 800, 1.3) : logNormal(random, 150, 0.9);
   return {clampTokens(logNormal(random, 500, 0.5), 950),
-          clampTokens(length, LongestOutput)};
+          clampTokens(length, MaxOutputTokens)};
 }
 
 /// Classifications of a few tokens, and summaries that run far on. The prompt
@@ -44,7 +44,7 @@
   const double length =
       isSummary ? logNormal(random, 700, 1.0) : logNormal(random, 20, 0.7);
   return {clampTokens(logNormal(random, 550, 0.5), 950),
-          clampTokens(length, LongestOutput)};
+          clampTokens(length, MaxOutputTokens)};
 }
 
 } // namespace
@@ -59,15 +59,15 @@
 }
 
 EngineJob EngineModel::stop(std::uint64_t id) {
-  const auto isIt = [&](const EngineJob &job) { return job.Id == id; };
-  const auto running = std::find_if(Running.begin(), Running.end(), isIt);
+  const auto matchesId = [&](const EngineJob &job) { return job.Id == id; };
+  const auto running = std::find_if(Running.begin(), Running.end(), matchesId);
   if (running != Running.end()) {
     const EngineJob job = *running;
-    Used -= job.tokens();
+    UsedTokens -= job.tokens();
     Running.erase(running);
     return job;
   }
-  const auto queued = std::find_if(Queue.begin(), Queue.end(), isIt);
+  const auto queued = std::find_if(Queue.begin(), Queue.end(), matchesId);
   if (queued == Queue.end())
     return {};
   const EngineJob job = *queued;
@@ -76,38 +76,41 @@
 }
 
 void EngineModel::preempt(EngineStep &out) {
-  while (Running.size() > 1 && Used + Running.size() > Options.CapacityTokens) {
+  while (Running.size() > 1 &&
+         UsedTokens + Running.size() > Options.CapacityTokens) {
     EngineJob job = Running.back();
     Running.pop_back();
-    Used -= job.tokens();
+    UsedTokens -= job.tokens();
     out.Preempted.push_back(job.Id);
     Queue.push_front(job);
   }
 }
 
-std::uint32_t EngineModel::prefillOf(const EngineJob &job, EngineStep &out) {
+std::uint32_t EngineModel::prefillTokensFor(const EngineJob &job,
+                                            EngineStep &out) {
   const auto tokens = static_cast<std::uint32_t>(job.tokens());
-  if (job.Prefix == 0 || Options.CacheTokens == 0)
+  if (job.PrefixHash == 0 || Options.CacheCapacityTokens == 0)
     return tokens;
   const auto it =
-      std::find_if(Cached.begin(), Cached.end(),
-                   [&](const CachedPrefix &c) { return c.Hash == job.Prefix; });
+      std::find_if(Cached.begin(), Cached.end(), [&](const CachedPrefix &c) {
+        return c.Hash == job.PrefixHash;
+      });
   const bool isCached = it != Cached.end();
   const std::uint32_t saved = isCached ? std::min(it->Tokens, tokens - 1) : 0;
   if (isCached)
     Cached.splice(Cached.begin(), Cached, it);
   else
-    cache(job, out);
+    addToCache(job, out);
   return tokens - saved;
 }
 
-void EngineModel::cache(const EngineJob &job, EngineStep &out) {
-  Cached.push_front({job.Prefix, job.PrefixTokens});
+void EngineModel::addToCache(const EngineJob &job, EngineStep &out) {
+  Cached.push_front({job.PrefixHash, job.PrefixTokens});
   CachedTokens += job.PrefixTokens;
-  out.Cache.push_back({job.Prefix, true});
-  while (CachedTokens > Options.CacheTokens && Cached.size() > 1) {
+  out.CacheEvents.push_back({job.PrefixHash, true});
+  while (CachedTokens > Options.CacheCapacityTokens && Cached.size() > 1) {
     CachedTokens -= Cached.back().Tokens;
-    out.Cache.push_back({Cached.back().Hash, false});
+    out.CacheEvents.push_back({Cached.back().Hash, false});
     Cached.pop_back();
   }
 }
@@ -117,10 +120,10 @@
     const EngineJob &job = Queue.front();
     const std::uint64_t growth = Running.size() + 1;
     if (!Running.empty() &&
-        Used + job.tokens() + growth > Options.CapacityTokens)
+        UsedTokens + job.tokens() + growth > Options.CapacityTokens)
       return;
-    out.PrefillTokens += prefillOf(job, out);
-    Used += job.tokens();
+    out.PrefillTokens += prefillTokensFor(job, out);
+    UsedTokens += job.tokens();
     Running.push_back(job);
     Queue.pop_front();
   }
@@ -137,27 +140,29 @@
   const double ms = Options.StepMs +
                     Options.StreamMs * static_cast<double>(Running.size()) +
                     Options.PrefillTokenMs * out.PrefillTokens;
-  out.Took = base::Duration(static_cast<std::int64_t>(ms * 1e6));
+  out.Elapsed = base::Duration(static_cast<std::int64_t>(ms * 1e6));
   for (EngineJob &job : Running) {
-    const bool isLast = job.Produced + 1 >= job.Length;
+    const bool isLast = job.Produced + 1 >= job.OutputTokens;
     out.Tokens.push_back({job.Id, job.Produced, isLast});
     ++job.Produced;
-    ++Used;
+    ++UsedTokens;
   }
   std::erase_if(Running, [&](const EngineJob &job) {
-    if (job.Produced < job.Length)
+    if (job.Produced < job.OutputTokens)
       return false;
-    Used -= job.tokens();
+    UsedTokens -= job.tokens();
     return true;
   });
   return out;
 }
 
-RequestSizes drawSizes(LengthShape shape, base::Random &random) {
-  if (shape == LengthShape::Mixed)
-    shape = random.chance(0.5) ? LengthShape::Lernwerk : LengthShape::Pwani;
-  return shape == LengthShape::Lernwerk ? drawLernwerk(random)
-                                        : drawPwani(random);
+RequestSizes drawRequestSizes(LengthDistribution distribution,
+                              base::Random &random) {
+  if (distribution == LengthDistribution::Mixed)
+    distribution = random.chance(0.5) ? LengthDistribution::Lernwerk
+                                      : LengthDistribution::Pwani;
+  return distribution == LengthDistribution::Lernwerk ? drawLernwerk(random)
+                                                      : drawPwani(random);
 }
 
 } // namespace drumlanding::tools
--- a/tools/engine-model.h
+++ b/tools/engine-model.h
@@ -27,18 +27,18 @@
   double StreamMs = 0.15;
   double PrefillTokenMs = 0.1;
   /// Memory for cached prefixes, besides CapacityTokens; 0 for no cache.
-  std::uint64_t CacheTokens = 12'000;
+  std::uint64_t CacheCapacityTokens = 12'000;
 };
 
 struct EngineJob {
   std::uint64_t Id = 0;
   std::uint32_t PromptTokens = 0;
   /// Tokens it will produce; the outside does not know.
-  std::uint32_t Length = 0;
+  std::uint32_t OutputTokens = 0;
   int Priority = 5;
   std::uint32_t Produced = 0;
   /// Hash and size of the shared beginning of the prompt; 0 for none.
-  std::uint64_t Prefix = 0;
+  std::uint64_t PrefixHash = 0;
   std::uint32_t PrefixTokens = 0;
   std::uint64_t tokens() const { return PromptTokens + Produced; }
 };
@@ -51,16 +51,16 @@
 
 /// A change of the prefix cache.
 struct CacheEvent {
-  std::uint64_t Prefix = 0;
+  std::uint64_t PrefixHash = 0;
   bool Added = false;
 };
 
 struct EngineStep {
-  base::Duration Took{0};
+  base::Duration Elapsed{0};
   std::uint32_t PrefillTokens = 0;
   std::vector<EngineToken> Tokens;
   std::vector<std::uint64_t> Preempted;
-  std::vector<CacheEvent> Cache;
+  std::vector<CacheEvent> CacheEvents;
 };
 
 class EngineModel {
@@ -75,7 +75,7 @@
   EngineStep step();
 
   bool isIdle() const { return Running.empty() && Queue.empty(); }
-  std::uint64_t usedTokens() const { return Used; }
+  std::uint64_t usedTokens() const { return UsedTokens; }
   std::size_t running() const { return Running.size(); }
   std::size_t queued() const { return Queue.size(); }
   const EngineOptions &options() const { return Options; }
@@ -83,14 +83,14 @@
 private:
   void preempt(EngineStep &out);
   void admit(EngineStep &out);
-  std::uint32_t prefillOf(const EngineJob &job, EngineStep &out);
-  void cache(const EngineJob &job, EngineStep &out);
+  std::uint32_t prefillTokensFor(const EngineJob &job, EngineStep &out);
+  void addToCache(const EngineJob &job, EngineStep &out);
 
   EngineOptions Options;
   /// In order of admission: the newest is preempted first.
   std::vector<EngineJob> Running;
   std::deque<EngineJob> Queue;
-  std::uint64_t Used = 0;
+  std::uint64_t UsedTokens = 0;
   struct CachedPrefix {
     std::uint64_t Hash = 0;
     std::uint32_t Tokens = 0;
@@ -101,13 +101,14 @@
 };
 
 /// The shapes of output lengths that the benches and stand-ins know.
-enum class LengthShape { Lernwerk, Pwani, Mixed };
+enum class LengthDistribution { Lernwerk, Pwani, Mixed };
 
 /// Draws the sizes of one request.
 struct RequestSizes {
   std::uint32_t PromptTokens = 0;
-  std::uint32_t Length = 0;
+  std::uint32_t OutputTokens = 0;
 };
-RequestSizes drawSizes(LengthShape shape, base::Random &random);
+RequestSizes drawRequestSizes(LengthDistribution distribution,
+                              base::Random &random);
 
 } // namespace drumlanding::tools
--- a/tools/fake-engine.cc
+++ b/tools/fake-engine.cc
@@ -5,7 +5,7 @@
 // A token's text is "word.seed.index": the seed is drawn when a stream starts
 // afresh, so a caller can tell that all its tokens come from one generation.
 #include "engine-model.h"
-#include "stand-in.h"
+#include "tool-support.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -54,26 +54,27 @@
   std::string Id;
   std::uint32_t Seed = 0;
   std::deque<http::ServerEvent> Events;
-  bool IsOver = false;
+  bool IsEnded = false;
   asio::steady_timer Wake;
 
   void push(http::ServerEvent event, bool isLast) {
     Events.push_back(std::move(event));
-    IsOver = IsOver || isLast;
+    IsEnded = IsEnded || isLast;
     Wake.cancel();
   }
 };
 
 /// What is remembered of a stream that was told to yield.
-struct KeptStream {
+struct YieldedStream {
   EngineJob Job;
   std::uint32_t Seed = 0;
 };
 
-LengthShape shapeOf(const std::string &name) {
+LengthDistribution distributionOf(const std::string &name) {
   if (name == "pwani")
-    return LengthShape::Pwani;
-  return name == "mixed" ? LengthShape::Mixed : LengthShape::Lernwerk;
+    return LengthDistribution::Pwani;
+  return name == "mixed" ? LengthDistribution::Mixed
+                         : LengthDistribution::Lernwerk;
 }
 
 class Engine {
@@ -99,62 +100,62 @@
       const bool found = stop(id, request.query("keep") == "1");
       co_await x.send(emptyResponse(found ? 200 : 404));
     } else if (path == "/v1/load") {
-      co_await x.send(jsonResponse(200, Reported));
+      co_await x.send(jsonResponse(200, ReportedLoad));
     } else if (path == "/v1/models") {
       co_await loadModels(request, x);
     } else if (path == "/v1/cache-events") {
-      co_await x.send(cacheEvents(numberOf(request.query("after"), 0)));
+      co_await x.send(cacheEvents(parseNumberOr(request.query("after"), 0)));
     } else if (path == "/v1/test/started") {
-      co_await x.send(jsonResponse(200, Json(Started)));
+      co_await x.send(jsonResponse(200, Json(StartCounts)));
     } else {
       co_await x.send(errorResponse(404, "unknown call"));
     }
   }
 
   /// Runs the model in real time.
-  asio::awaitable<void> run() {
+  asio::awaitable<void> runSteps() {
     for (;;) {
       const EngineStep step = Model.step();
-      if (step.Took.count() == 0) {
+      if (step.Elapsed.count() == 0) {
         co_await sleepFor(IdleStep);
       } else {
-        const double nanos =
-            static_cast<double>(step.Took.count()) / FLAGS_speed;
-        co_await sleepFor(base::Duration(static_cast<std::int64_t>(nanos)));
+        const double ns =
+            static_cast<double>(step.Elapsed.count()) / FLAGS_speed;
+        co_await sleepFor(base::Duration(static_cast<std::int64_t>(ns)));
       }
       deliver(step);
     }
   }
 
   /// Makes the load report anew, late.
-  asio::awaitable<void> report() {
+  asio::awaitable<void> refreshLoadReport() {
     for (;;) {
       Json next = currentLoad();
       co_await sleepFor(base::milliseconds(FLAGS_report_lag_ms));
-      Reported = std::move(next);
+      ReportedLoad = std::move(next);
     }
   }
 
 private:
   Json currentLoad() const {
     const EngineOptions &o = Model.options();
-    const double plain =
+    const double plainStepMs =
         o.StepMs + o.StreamMs * static_cast<double>(Model.running());
     return {{"capacityTokens", o.CapacityTokens},
             {"usedTokens", Model.usedTokens()},
             {"running", Model.running()},
             {"queued", Model.queued()},
-            {"plainStepMs", plain / FLAGS_speed},
+            {"plainStepMs", plainStepMs / FLAGS_speed},
             {"prefillTokenMs", o.PrefillTokenMs / FLAGS_speed},
-            {"preemptions", Preemptions},
+            {"preemptions", PreemptionCount},
             {"models", Models}};
   }
 
   void deliver(const EngineStep &step) {
-    Preemptions += step.Preempted.size();
+    PreemptionCount += step.Preempted.size();
     for (const EngineToken &token : step.Tokens) {
-      const auto it = ByNumber.find(token.Id);
-      if (it == ByNumber.end())
+      const auto it = StreamsByJob.find(token.Id);
+      if (it == StreamsByJob.end())
         continue;
       const std::shared_ptr<Stream> stream = it->second;
       const char *word = Words[token.Index % std::size(Words)];
@@ -165,43 +166,43 @@
       if (!token.IsLast)
         continue;
       stream->push({"", "done", "{}"}, true);
-      forget(*stream, token.Id);
+      removeStream(*stream, token.Id);
     }
-    for (const CacheEvent &event : step.Cache) {
-      ++CacheSequence;
+    for (const CacheEvent &event : step.CacheEvents) {
+      ++LastCacheSequence;
       if (Random.chance(FLAGS_cache_gap))
         continue;
-      Cache.push_back({CacheSequence, Clock::now(), event});
-      if (Cache.size() > 1'000)
-        Cache.pop_front();
+      CacheEvents.push_back({LastCacheSequence, Clock::now(), event});
+      if (CacheEvents.size() > 1'000)
+        CacheEvents.pop_front();
     }
   }
 
-  void forget(const Stream &stream, std::uint64_t number) {
-    Numbers.erase(stream.Id);
-    ByNumber.erase(number);
+  void removeStream(const Stream &stream, std::uint64_t jobId) {
+    JobIds.erase(stream.Id);
+    StreamsByJob.erase(jobId);
   }
 
   bool stop(const std::string &id, bool keep) {
     if (!keep)
-      Kept.erase(id);
-    const auto it = Numbers.find(id);
-    if (it == Numbers.end())
+      YieldedStreams.erase(id);
+    const auto it = JobIds.find(id);
+    if (it == JobIds.end())
       return false;
-    const std::uint64_t number = it->second;
-    const std::shared_ptr<Stream> stream = ByNumber.at(number);
-    const EngineJob job = Model.stop(number);
+    const std::uint64_t jobId = it->second;
+    const std::shared_ptr<Stream> stream = StreamsByJob.at(jobId);
+    const EngineJob job = Model.stop(jobId);
     if (keep)
-      Kept[id] = {job, stream->Seed};
+      YieldedStreams[id] = {job, stream->Seed};
     stream->push({"", keep ? "yielded" : "cancelled", "{}"}, true);
-    forget(*stream, number);
+    removeStream(*stream, jobId);
     return true;
   }
 
   void stopAll() {
-    while (!Numbers.empty())
-      stop(std::string(Numbers.begin()->first), false);
-    Kept.clear();
+    while (!JobIds.empty())
+      stop(std::string(JobIds.begin()->first), false);
+    YieldedStreams.clear();
   }
 
   bool isLoaded(const Json &request) const {
@@ -214,21 +215,23 @@
   EngineJob makeJob(const Json &request) {
     const std::string prompt = request.at("prompt");
     EngineJob job;
-    job.Id = ++NextNumber;
+    job.Id = ++LastJobId;
     job.PromptTokens = request.at("promptTokens");
     job.Priority = request.at("priority");
-    job.Length = FLAGS_fixed_length > 0
-                     ? static_cast<std::uint32_t>(FLAGS_fixed_length)
-                     : drawSizes(shapeOf(FLAGS_lengths), Random).Length;
-    job.Length =
-        std::min(job.Length, request.at("maxTokens").get<std::uint32_t>());
+    job.OutputTokens =
+        FLAGS_fixed_length > 0
+            ? static_cast<std::uint32_t>(FLAGS_fixed_length)
+            : drawRequestSizes(distributionOf(FLAGS_lengths), Random)
+                  .OutputTokens;
+    job.OutputTokens = std::min(job.OutputTokens,
+                                request.at("maxTokens").get<std::uint32_t>());
     if (prompt.size() >= PrefixBytes) {
-      job.Prefix = base::hash64(prompt.substr(0, PrefixBytes));
+      job.PrefixHash = base::hash64(prompt.substr(0, PrefixBytes));
       job.PrefixTokens = PrefixBytes / 4;
     }
-    const std::size_t from =
+    const std::size_t markerStart =
         prompt.size() > MarkerBytes ? prompt.size() - MarkerBytes : 0;
-    ++Started[prompt.substr(from)];
+    ++StartCounts[prompt.substr(markerStart)];
     return job;
   }
 
@@ -240,7 +243,7 @@
       co_return;
     }
     const std::string id = json["id"];
-    if (!isLoaded(json) || Numbers.contains(id)) {
+    if (!isLoaded(json) || JobIds.contains(id)) {
       co_await x.send(errorResponse(503, "refused"));
       co_return;
     }
@@ -249,36 +252,37 @@
     const std::uint32_t resumeFrom = json.value("resumeFrom", 0U);
     EngineJob job;
     if (resumeFrom > 0) {
-      const auto kept = Kept.find(id);
-      if (kept == Kept.end() || kept->second.Job.Produced < resumeFrom) {
+      const auto yielded = YieldedStreams.find(id);
+      if (yielded == YieldedStreams.end() ||
+          yielded->second.Job.Produced < resumeFrom) {
         co_await x.send(errorResponse(409, "not resumable"));
         co_return;
       }
-      job = kept->second.Job;
+      job = yielded->second.Job;
       job.Produced = resumeFrom;
-      job.Id = ++NextNumber;
-      stream->Seed = kept->second.Seed;
-      Kept.erase(kept);
+      job.Id = ++LastJobId;
+      stream->Seed = yielded->second.Seed;
+      YieldedStreams.erase(yielded);
     } else {
       job = makeJob(json);
       stream->Seed = static_cast<std::uint32_t>(base::secureRandom64());
     }
-    Numbers[id] = job.Id;
-    ByNumber[job.Id] = stream;
+    JobIds[id] = job.Id;
+    StreamsByJob[job.Id] = stream;
     Model.submit(job);
     co_await sendEvents(stream, job.Id, x);
   }
 
   asio::awaitable<void> sendEvents(std::shared_ptr<Stream> stream,
-                                   std::uint64_t number, http::Exchange &x) {
-    x.onDisconnect([this, id = stream->Id, number] {
-      const auto it = Numbers.find(id);
-      if (it != Numbers.end() && it->second == number)
+                                   std::uint64_t jobId, http::Exchange &x) {
+    x.onDisconnect([this, id = stream->Id, jobId] {
+      const auto it = JobIds.find(id);
+      if (it != JobIds.end() && it->second == jobId)
         stop(id, false);
     });
     bool isOpen = co_await x.beginEvents(std::vector<http::Header>());
     while (isOpen) {
-      while (stream->Events.empty() && !stream->IsOver) {
+      while (stream->Events.empty() && !stream->IsEnded) {
         stream->Wake.expires_at(Clock::time_point::max());
         boost::system::error_code ec;
         co_await stream->Wake.async_wait(
@@ -287,9 +291,9 @@
       std::vector<http::ServerEvent> events(stream->Events.begin(),
                                             stream->Events.end());
       stream->Events.clear();
-      const bool isOver = stream->IsOver;
+      const bool isEnded = stream->IsEnded;
       isOpen = co_await x.events(std::move(events));
-      if (isOver)
+      if (isEnded)
         break;
     }
     co_await x.endEvents();
@@ -299,11 +303,11 @@
                                    http::Exchange &x) {
     const Json json = Json::parse(request.Body, nullptr, false);
     const std::uint64_t fence = json.value("fence", std::uint64_t(0));
-    if (FLAGS_checks_fences && fence < Fence) {
+    if (FLAGS_checks_fences && fence < LastFence) {
       co_await x.send(errorResponse(409, "a higher fence was seen"));
       co_return;
     }
-    Fence = fence;
+    LastFence = fence;
     if (!FLAGS_weights.empty())
       for (const Json &m : json.at("models")) {
         const auto store = base::parseEndpoint("--weights", FLAGS_weights);
@@ -313,7 +317,7 @@
         co_await http::fetch(value(store), std::move(fetch),
                              base::milliseconds(10'000));
       }
-    if (fence < Fence && FLAGS_checks_fences) {
+    if (fence < LastFence && FLAGS_checks_fences) {
       co_await x.send(errorResponse(409, "a higher fence was seen"));
       co_return;
     }
@@ -322,47 +326,48 @@
   }
 
   http::Response cacheEvents(std::uint64_t after) const {
-    const auto visible = Clock::now() - base::milliseconds(FLAGS_cache_lag_ms);
+    const auto visibleUntil =
+        Clock::now() - base::milliseconds(FLAGS_cache_lag_ms);
     Json events = Json::array();
-    for (const LateEvent &e : Cache)
-      if (e.Sequence > after && e.At <= visible)
+    for (const RecordedCacheEvent &e : CacheEvents)
+      if (e.Sequence > after && e.RecordedAt <= visibleUntil)
         events.push_back({{"sequence", e.Sequence},
-                          {"prefix", e.Event.Prefix},
+                          {"prefix", e.Event.PrefixHash},
                           {"added", e.Event.Added}});
     return jsonResponse(200, {{"events", events}});
   }
 
-  struct LateEvent {
+  struct RecordedCacheEvent {
     std::uint64_t Sequence = 0;
-    Clock::time_point At;
+    Clock::time_point RecordedAt;
     CacheEvent Event;
   };
 
   asio::io_context &Io;
   base::Random Random;
   EngineModel Model;
-  std::map<std::string, std::uint64_t> Numbers;
-  std::map<std::uint64_t, std::shared_ptr<Stream>> ByNumber;
-  std::map<std::string, KeptStream> Kept;
-  std::map<std::string, int> Started;
-  std::deque<LateEvent> Cache;
-  std::uint64_t CacheSequence = 0;
-  std::uint64_t NextNumber = 0;
-  std::uint64_t Fence = 0;
-  std::uint64_t Preemptions = 0;
+  std::map<std::string, std::uint64_t> JobIds;
+  std::map<std::uint64_t, std::shared_ptr<Stream>> StreamsByJob;
+  std::map<std::string, YieldedStream> YieldedStreams;
+  std::map<std::string, int> StartCounts;
+  std::deque<RecordedCacheEvent> CacheEvents;
+  std::uint64_t LastCacheSequence = 0;
+  std::uint64_t LastJobId = 0;
+  std::uint64_t LastFence = 0;
+  std::uint64_t PreemptionCount = 0;
   Json Models = Json::array();
-  Json Reported = currentLoad();
+  Json ReportedLoad = currentLoad();
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "fake-engine: a stand-in for a model engine",
-                   Flags);
+  readToolFlags(argc, argv, "fake-engine: a stand-in for a model engine",
+                Flags);
   asio::io_context io(1);
   Engine engine(io);
-  asio::co_spawn(io, engine.run(), asio::detached);
-  asio::co_spawn(io, engine.report(), asio::detached);
+  asio::co_spawn(io, engine.runSteps(), asio::detached);
+  asio::co_spawn(io, engine.refreshLoadReport(), asio::detached);
   return serveUntilStopped(io, FLAGS_listen,
                            [&](http::Request request, http::Exchange &x) {
                              return engine.handle(std::move(request), x);
--- a/tools/fake-platform.cc
+++ b/tools/fake-platform.cc
@@ -4,7 +4,7 @@
 // is for tests only: outages, slowness and lost answers.
 #include "platform/names.h"
 #include "platform/store.h"
-#include "stand-in.h"
+#include "tool-support.h"
 
 #include <chrono>
 #include <deque>
@@ -26,22 +26,22 @@
 constexpr std::string_view Flags[] = {"listen", "vm_lag_ms",
                                       "writes_per_second", "reads_per_second",
                                       "weights_ms"};
-constexpr base::milliseconds WatchStep{10};
+constexpr base::milliseconds WatchPollInterval{10};
 /// Changes that watches can still be told.
-constexpr std::size_t MostHistory = 500;
+constexpr std::size_t MaxHistory = 500;
 constexpr std::string_view VmPrefix = "vms/";
 namespace names = platform::names;
 
 struct StoredEntry {
   std::uint64_t Revision = 0;
-  std::uint64_t Made = 0;
+  std::uint64_t CreateRevision = 0;
   std::string Value; // as sent: base64
   std::uint64_t Lease = 0;
 };
 
 struct Lease {
-  Clock::time_point Until;
-  base::milliseconds Time{0};
+  Clock::time_point ExpiresAt;
+  base::milliseconds Ttl{0};
 };
 
 /// A change in the history that watches read.
@@ -53,22 +53,22 @@
 };
 
 /// Allows so many calls in each second.
-class RateLimit {
+class RateLimiter {
 public:
-  bool take(int most) {
+  bool allow(int maxPerSecond) {
     const auto now = std::chrono::time_point_cast<base::seconds>(Clock::now());
-    if (now != Second) {
-      Second = now;
-      Used = 0;
+    if (now != CurrentSecond) {
+      CurrentSecond = now;
+      UsedInSecond = 0;
     }
     ++Total;
-    return ++Used <= most;
+    return ++UsedInSecond <= maxPerSecond;
   }
   std::uint64_t total() const { return Total; }
 
 private:
-  std::chrono::time_point<Clock, base::seconds> Second{};
-  int Used = 0;
+  std::chrono::time_point<Clock, base::seconds> CurrentSecond{};
+  int UsedInSecond = 0;
   std::uint64_t Total = 0;
 };
 
@@ -76,7 +76,7 @@
   bool IsDown = false;
   base::milliseconds Delay{0};
   /// Answers to writes to lose after their effect.
-  int LoseAnswers = 0;
+  int ResponsesToDrop = 0;
 };
 
 class Platform {
@@ -84,17 +84,17 @@
   asio::awaitable<void> handle(http::Request request, http::Exchange &x) {
     const std::string path(request.path());
     if (path.starts_with("/v1/test/")) {
-      co_await x.send(test(request));
+      co_await x.send(handleTestRequest(request));
       co_return;
     }
-    if (TheFaults.Delay.count() > 0)
-      co_await sleepFor(TheFaults.Delay);
-    if (TheFaults.IsDown) {
+    if (InjectedFaults.Delay.count() > 0)
+      co_await sleepFor(InjectedFaults.Delay);
+    if (InjectedFaults.IsDown) {
       co_await x.send(errorResponse(503, "outage"));
       co_return;
     }
     expireLeases();
-    listVms();
+    updateVmEntries();
     if (path.starts_with("/v1/weights/")) {
       co_await sleepFor(base::milliseconds(FLAGS_weights_ms));
       co_await x.send(emptyResponse(200));
@@ -102,17 +102,18 @@
     }
     const bool isRenewal = path.starts_with(names::path::LeaseRenew);
     const bool isWrite = request.Method != "GET" && !isRenewal;
-    const bool isAllowed = isWrite ? Writes.take(FLAGS_writes_per_second)
-                                   : Reads.take(FLAGS_reads_per_second);
+    const bool isAllowed = isWrite ? WriteLimiter.allow(FLAGS_writes_per_second)
+                                   : ReadLimiter.allow(FLAGS_reads_per_second);
     if (!isAllowed) {
       co_await x.send(errorResponse(429, "rate limit"));
       co_return;
     }
     if (path == names::path::StoreWatch)
       co_await waitForChange(request);
-    http::Response response = answer(request);
-    if (isWrite && TheFaults.LoseAnswers > 0 && response.Status == 200) {
-      --TheFaults.LoseAnswers;
+    http::Response response = dispatch(request);
+    if (isWrite && InjectedFaults.ResponsesToDrop > 0 &&
+        response.Status == 200) {
+      --InjectedFaults.ResponsesToDrop;
       co_await x.endEvents();
       co_return;
     }
@@ -124,7 +125,7 @@
     return {{"tlsKey", key},
             {"value", entry.Value},
             {"rev", entry.Revision},
-            {"made", entry.Made},
+            {"made", entry.CreateRevision},
             {"lease", entry.Lease}};
   }
 
@@ -132,35 +133,36 @@
            std::uint64_t lease) {
     StoredEntry &entry = Entries[key];
     entry.Revision = Revision;
-    if (entry.Made == 0)
-      entry.Made = Revision;
+    if (entry.CreateRevision == 0)
+      entry.CreateRevision = Revision;
     entry.Value = value;
     entry.Lease = lease;
-    remember({Revision, key, false, entry});
+    recordChange({Revision, key, false, entry});
   }
 
   void remove(const std::string &key) {
     if (Entries.erase(key) > 0)
-      remember({Revision, key, true, {}});
+      recordChange({Revision, key, true, {}});
   }
 
-  void remember(Change change) {
+  void recordChange(Change change) {
     History.push_back(std::move(change));
-    if (History.size() <= MostHistory)
+    if (History.size() <= MaxHistory)
       return;
-    Forgotten = History.front().Revision;
+    CompactedRevision = History.front().Revision;
     History.pop_front();
   }
 
   void expireLeases() {
     const auto now = Clock::now();
-    std::erase_if(Leases,
-                  [&](const auto &entry) { return entry.second.Until < now; });
-    std::vector<std::string> lapsed;
+    std::erase_if(Leases, [&](const auto &entry) {
+      return entry.second.ExpiresAt < now;
+    });
+    std::vector<std::string> expired;
     for (const auto &[key, entry] : Entries)
       if (entry.Lease != 0 && !Leases.contains(entry.Lease))
-        lapsed.push_back(key);
-    for (const std::string &key : lapsed) {
+        expired.push_back(key);
+    for (const std::string &key : expired) {
       ++Revision;
       remove(key);
     }
@@ -168,7 +170,7 @@
 
   std::vector<const Change *> changesFor(const http::Request &request) const {
     const std::string prefix(request.query("pathPrefix"));
-    const std::uint64_t after = numberOf(request.query("sinceRev"), 0);
+    const std::uint64_t after = parseNumberOr(request.query("sinceRev"), 0);
     std::vector<const Change *> changes;
     for (const Change &change : History)
       if (change.Revision > after && change.Key.starts_with(prefix))
@@ -178,17 +180,18 @@
 
   asio::awaitable<void> waitForChange(const http::Request &request) {
     const auto until =
-        Clock::now() + base::milliseconds(numberOf(request.query("waitMs"), 0));
-    while (Clock::now() < until && !TheFaults.IsDown) {
+        Clock::now() +
+        base::milliseconds(parseNumberOr(request.query("waitMs"), 0));
+    while (Clock::now() < until && !InjectedFaults.IsDown) {
       expireLeases();
-      listVms();
+      updateVmEntries();
       if (!changesFor(request).empty())
         co_return;
-      co_await sleepFor(WatchStep);
+      co_await sleepFor(WatchPollInterval);
     }
   }
 
-  http::Response answer(const http::Request &request) {
+  http::Response dispatch(const http::Request &request) {
     const std::string path(request.path());
     if (path == names::path::StoreKey)
       return read(request);
@@ -226,7 +229,7 @@
   }
 
   http::Response watch(const http::Request &request) {
-    if (numberOf(request.query("sinceRev"), 0) < Forgotten)
+    if (parseNumberOr(request.query("sinceRev"), 0) < CompactedRevision)
       return errorResponse(410, "the history is gone");
     Json events = Json::array();
     for (const Change *change : changesFor(request))
@@ -246,24 +249,24 @@
     const Json body = Json::parse(request.Body, nullptr, false);
     if (!body.is_object())
       return errorResponse(400, "an object is expected");
-    bool isHeld = true;
+    bool conditionsHold = true;
     Json present = Json::array();
-    for (const Json &row : body.value("expectRev", Json::array())) {
-      const std::string key = row.at("tlsKey");
-      isHeld = isHeld && revisionOf(key) == row.at("rev");
+    for (const Json &item : body.value("expectRev", Json::array())) {
+      const std::string key = item.at("tlsKey");
+      conditionsHold = conditionsHold && revisionOf(key) == item.at("rev");
       if (const auto it = Entries.find(key); it != Entries.end())
         present.push_back(toJson(key, it->second));
     }
-    if (!isHeld)
+    if (!conditionsHold)
       return jsonResponse(412, {{"items", present}});
-    for (const Json &row : body.value("put", Json::array()))
-      if (const std::uint64_t lease = row.value("lease", std::uint64_t{0});
+    for (const Json &item : body.value("put", Json::array()))
+      if (const std::uint64_t lease = item.value("lease", std::uint64_t{0});
           lease != 0 && !Leases.contains(lease))
         return errorResponse(404, "the lease has lapsed");
     ++Revision;
-    for (const Json &row : body.value("put", Json::array()))
-      put(row.at("tlsKey"), row.at("value"),
-          row.value("lease", std::uint64_t{0}));
+    for (const Json &item : body.value("put", Json::array()))
+      put(item.at("tlsKey"), item.at("value"),
+          item.value("lease", std::uint64_t{0}));
     for (const Json &key : body.value("remove", Json::array()))
       remove(key);
     return jsonResponse(200, {{"rev", Revision}});
@@ -271,35 +274,35 @@
 
   http::Response grant(const http::Request &request) {
     const Json body = Json::parse(request.Body, nullptr, false);
-    const base::milliseconds time(body.is_object() ? body.value("ttl_ms", 1'000)
-                                                   : 1'000);
-    const std::uint64_t id = ++NextLease;
-    Leases[id] = {Clock::now() + time, time};
-    return jsonResponse(200, {{"lease", id}, {"ttl_ms", time.count()}});
+    const base::milliseconds ttl(body.is_object() ? body.value("ttl_ms", 1'000)
+                                                  : 1'000);
+    const std::uint64_t id = ++LastLease;
+    Leases[id] = {Clock::now() + ttl, ttl};
+    return jsonResponse(200, {{"lease", id}, {"ttl_ms", ttl.count()}});
   }
 
   http::Response renew(const http::Request &request) {
     const std::uint64_t id =
-        numberOf(request.path().substr(names::path::LeaseRenew.size()), 0);
+        parseNumberOr(request.path().substr(names::path::LeaseRenew.size()), 0);
     const auto it = Leases.find(id);
     if (it == Leases.end())
       return errorResponse(404, "the lease has lapsed");
-    it->second.Until = Clock::now() + it->second.Time;
-    return jsonResponse(200, {{"ttl_ms", it->second.Time.count()}});
+    it->second.ExpiresAt = Clock::now() + it->second.Ttl;
+    return jsonResponse(200, {{"ttl_ms", it->second.Ttl.count()}});
   }
 
   /// Lays the list of VMs that is visible by now under its prefix.
-  void listVms() {
+  void updateVmEntries() {
     const Json visible = visibleVms();
-    if (visible == ListedVms)
+    if (visible == PublishedVms)
       return;
-    ListedVms = visible;
+    PublishedVms = visible;
     ++Revision;
-    std::vector<std::string> old;
+    std::vector<std::string> oldKeys;
     for (const auto &[key, entry] : Entries)
       if (key.starts_with(VmPrefix))
-        old.push_back(key);
-    for (const std::string &key : old)
+        oldKeys.push_back(key);
+    for (const std::string &key : oldKeys)
       remove(key);
     for (const Json &vm : visible)
       put(std::string(VmPrefix) + vm.at("name").get<std::string>(),
@@ -308,29 +311,29 @@
 
   Json visibleVms() {
     const auto now = Clock::now() - base::milliseconds(FLAGS_vm_lag_ms);
-    while (Lists.size() > 1 && std::next(Lists.begin())->first <= now)
-      Lists.erase(Lists.begin());
-    const bool hasAny = !Lists.empty() && Lists.begin()->first <= now;
-    return hasAny ? Lists.begin()->second : Json::array();
+    while (VmLists.size() > 1 && std::next(VmLists.begin())->first <= now)
+      VmLists.erase(VmLists.begin());
+    const bool hasAny = !VmLists.empty() && VmLists.begin()->first <= now;
+    return hasAny ? VmLists.begin()->second : Json::array();
   }
 
-  http::Response test(const http::Request &request) {
+  http::Response handleTestRequest(const http::Request &request) {
     const std::string path(request.path());
     if (path == "/v1/test/vms") {
       Json list = Json::parse(request.Body, nullptr, false);
       if (!list.is_array())
         return errorResponse(400, "a list is expected");
-      Lists.emplace(Clock::now(), std::move(list));
+      VmLists.emplace(Clock::now(), std::move(list));
       return emptyResponse(200);
     }
     if (path == "/v1/test/counts")
-      return jsonResponse(
-          200, {{"reads", Reads.total()}, {"writes", Writes.total()}});
-    TheFaults.IsDown = numberOf(request.query("down"), 0) != 0;
-    TheFaults.Delay =
-        base::milliseconds(numberOf(request.query("delay_ms"), 0));
-    TheFaults.LoseAnswers =
-        static_cast<int>(numberOf(request.query("lose"), 0));
+      return jsonResponse(200, {{"reads", ReadLimiter.total()},
+                                {"writes", WriteLimiter.total()}});
+    InjectedFaults.IsDown = parseNumberOr(request.query("down"), 0) != 0;
+    InjectedFaults.Delay =
+        base::milliseconds(parseNumberOr(request.query("delay_ms"), 0));
+    InjectedFaults.ResponsesToDrop =
+        static_cast<int>(parseNumberOr(request.query("lose"), 0));
     return emptyResponse(200);
   }
 
@@ -338,21 +341,21 @@
   std::map<std::uint64_t, Lease> Leases;
   std::deque<Change> History;
   /// Changes up to this revision are no longer told.
-  std::uint64_t Forgotten = 0;
-  Json ListedVms = Json::array();
-  std::multimap<Clock::time_point, Json> Lists;
+  std::uint64_t CompactedRevision = 0;
+  Json PublishedVms = Json::array();
+  std::multimap<Clock::time_point, Json> VmLists;
   std::uint64_t Revision = 0;
-  std::uint64_t NextLease = 0;
-  RateLimit Reads;
-  RateLimit Writes;
-  Faults TheFaults;
+  std::uint64_t LastLease = 0;
+  RateLimiter ReadLimiter;
+  RateLimiter WriteLimiter;
+  Faults InjectedFaults;
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "fake-platform: a stand-in for the platform",
-                   Flags);
+  readToolFlags(argc, argv, "fake-platform: a stand-in for the platform",
+                Flags);
   asio::io_context io(1);
   Platform platform;
   return serveUntilStopped(io, FLAGS_listen,
--- a/tools/fake-service.cc
+++ b/tools/fake-service.cc
@@ -1,6 +1,6 @@
 // fake-service: a stand-in for a plain service, such as saving progress. It
 // counts how often each call ran: the body's "id" names the call.
-#include "stand-in.h"
+#include "tool-support.h"
 
 #include <gflags/gflags.h>
 #include <map>
@@ -23,7 +23,7 @@
       co_return;
     }
     if (request.path() == "/v1/test/runs") {
-      co_await x.send(jsonResponse(200, Json(Runs)));
+      co_await x.send(jsonResponse(200, Json(RunCounts)));
       co_return;
     }
     const Json body = Json::parse(request.Body, nullptr, false);
@@ -31,7 +31,7 @@
         body.is_object() && body.contains("id") && body["id"].is_string()
             ? body["id"].get<std::string>()
             : "";
-    const int run = ++Runs[id];
+    const int run = ++RunCounts[id];
     co_await sleepFor(base::milliseconds(FLAGS_work_ms));
     const Json answer{
         {"id", id}, {"run", run}, {"path", std::string(request.path())}};
@@ -39,14 +39,14 @@
   }
 
 private:
-  std::map<std::string, int> Runs;
+  std::map<std::string, int> RunCounts;
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "fake-service: a stand-in for a plain service",
-                   Flags);
+  readToolFlags(argc, argv, "fake-service: a stand-in for a plain service",
+                Flags);
   asio::io_context io(1);
   Service service;
   return serveUntilStopped(io, FLAGS_listen,
--- a/tools/load.cc
+++ b/tools/load.cc
@@ -1,7 +1,7 @@
 // load: callers of both deployments that check every answer they get.
 #include "drumlanding/base/hash.h"
 #include "load-checks.h"
-#include "stand-in.h"
+#include "tool-support.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -45,14 +45,14 @@
     "engines",   "services",      "rate",       "streams",
     "seconds",   "drain_seconds", "max_tokens", "call_part",
     "drop_part", "repeat_part",   "seed",       "progress"};
-constexpr milliseconds StreamSilence{20'000};
-constexpr milliseconds CallLimit{20'000};
-constexpr milliseconds ResumeWait{200};
-constexpr int MostResumes = 40;
+constexpr milliseconds StreamIdleTimeout{20'000};
+constexpr milliseconds CallTimeout{20'000};
+constexpr milliseconds ResumeDelay{200};
+constexpr int MaxResumes = 40;
 constexpr std::size_t MarkerBytes = 36;
 
-std::vector<base::Endpoint> endpoints(std::string_view flag,
-                                      const std::string &list) {
+std::vector<base::Endpoint> parseEndpoints(std::string_view flag,
+                                           const std::string &list) {
   std::vector<base::Endpoint> all;
   for (const std::string &part : base::splitList(list)) {
     const auto endpoint = base::parseEndpoint(flag, part);
@@ -64,115 +64,117 @@
 }
 
 /// How one connection of a stream ended.
-enum class StreamResult { Whole, Failed, Refused, Dropped, Cut };
+enum class StreamResult { Complete, Failed, Refused, Dropped, Interrupted };
 
-class Load {
+class LoadGenerator {
 public:
-  explicit Load(asio::io_context &io)
+  explicit LoadGenerator(asio::io_context &io)
       : Io(io), Random(FLAGS_seed),
-        Entries(endpoints("--entries", FLAGS_entries)),
-        Engines(endpoints("--engines", FLAGS_engines)),
-        Services(endpoints("--services", FLAGS_services)),
+        Entries(parseEndpoints("--entries", FLAGS_entries)),
+        Engines(parseEndpoints("--engines", FLAGS_engines)),
+        Services(parseEndpoints("--services", FLAGS_services)),
         Credentials(base::splitList(FLAGS_credentials)) {}
 
   asio::awaitable<void> run() {
-    Started = Time.now().Steady;
+    StartedAt = Time.now().Steady;
     const auto until =
-        Started +
+        StartedAt +
         base::Duration(static_cast<std::int64_t>(FLAGS_seconds * 1e9));
     while (Time.now().Steady < until) {
-      if (FLAGS_streams > 0 && Open >= FLAGS_streams) {
+      if (FLAGS_streams > 0 && OpenRequests >= FLAGS_streams) {
         co_await sleepFor(milliseconds(2));
         continue;
       }
-      asio::co_spawn(Io, oneRequest(), asio::detached);
+      asio::co_spawn(Io, sendRequest(), asio::detached);
       if (FLAGS_streams == 0)
         co_await sleepFor(
             base::Duration(static_cast<std::int64_t>(1e9 / FLAGS_rate)));
       showProgress(false);
     }
-    const auto patience =
+    const auto drainDeadline =
         Time.now().Steady +
         base::Duration(static_cast<std::int64_t>(FLAGS_drain_seconds * 1e9));
-    while (Open > 0 && Time.now().Steady < patience) {
+    while (OpenRequests > 0 && Time.now().Steady < drainDeadline) {
       co_await sleepFor(milliseconds(50));
       showProgress(false);
     }
     showProgress(true);
     co_await checkRuns();
-    print();
+    printCounts();
     std::fflush(stdout);
-    std::_Exit(Counts.violations() == 0 && Open == 0 ? 0 : 1);
+    std::_Exit(Counts.violations() == 0 && OpenRequests == 0 ? 0 : 1);
   }
 
 private:
-  const base::Endpoint &anyEntry() {
+  const base::Endpoint &pickEntry() {
     return Entries[Random.below(Entries.size())];
   }
-  const std::string &anyCredential() {
+  const std::string &pickCredential() {
     return Credentials[Random.below(Credentials.size())];
   }
 
-  asio::awaitable<void> oneRequest() {
-    ++Open;
+  asio::awaitable<void> sendRequest() {
+    ++OpenRequests;
     ++Counts.Requests;
     const bool isCall = !FLAGS_service.empty() &&
                         (FLAGS_model.empty() || Random.chance(FLAGS_call_part));
     if (isCall)
-      co_await oneCall();
+      co_await callService();
     else
-      co_await oneGeneration();
-    --Open;
+      co_await runGeneration();
+    --OpenRequests;
   }
 
   // Generations.
 
-  asio::awaitable<void> oneGeneration() {
+  asio::awaitable<void> runGeneration() {
     const std::string marker =
         fmt::format("{:0>{}}", base::randomId(), MarkerBytes);
-    const std::string credential = anyCredential();
+    const std::string credential = pickCredential();
     StreamChecker checker(Counts);
     std::string id;
-    const bool drops = Random.chance(FLAGS_drop_part);
-    auto dropAt = static_cast<std::uint32_t>(drops ? 1 + Random.below(20)
-                                                   : FLAGS_max_tokens + 1);
+    const bool isDropped = Random.chance(FLAGS_drop_part);
+    auto dropIndex = static_cast<std::uint32_t>(
+        isDropped ? 1 + Random.below(20) : FLAGS_max_tokens + 1);
     const Json body{{"model", FLAGS_model},
-                    {"prompt", promptWith(marker)},
+                    {"prompt", makePrompt(marker)},
                     {"maxTokens", FLAGS_max_tokens}};
     http::Request request{"POST",
                           "/v1/generations",
                           {{"Authorization", "Bearer " + credential}},
                           body.dump()};
-    const base::Instant asked = Time.now().Steady;
+    const base::Instant requestedAt = Time.now().Steady;
     StreamResult result = co_await readStream(std::move(request), checker, id,
-                                              dropAt, marker, asked);
-    for (int i = 0; i < MostResumes && !id.empty(); ++i) {
-      if (result != StreamResult::Cut && result != StreamResult::Dropped)
+                                              dropIndex, marker, requestedAt);
+    for (int i = 0; i < MaxResumes && !id.empty(); ++i) {
+      if (result != StreamResult::Interrupted &&
+          result != StreamResult::Dropped)
         break;
       ++Counts.Resumed;
-      dropAt = FLAGS_max_tokens + 1;
+      dropIndex = FLAGS_max_tokens + 1;
       http::Request again{"GET",
                           "/v1/generations/" + id,
                           {{"Authorization", "Bearer " + credential}},
                           ""};
-      if (checker.next() > 0)
+      if (checker.nextIndex() > 0)
         again.Headers.push_back(
-            {"Last-Event-ID", std::to_string(checker.next() - 1)});
-      result =
-          co_await readStream(std::move(again), checker, id, dropAt, "", asked);
-      if (result == StreamResult::Cut)
-        co_await sleepFor(ResumeWait);
+            {"Last-Event-ID", std::to_string(checker.nextIndex() - 1)});
+      result = co_await readStream(std::move(again), checker, id, dropIndex, "",
+                                   requestedAt);
+      if (result == StreamResult::Interrupted)
+        co_await sleepFor(ResumeDelay);
     }
-    if (result == StreamResult::Whole)
-      ++Counts.Whole;
+    if (result == StreamResult::Complete)
+      ++Counts.Complete;
     if (result == StreamResult::Failed)
-      ++Counts.Broken;
-    if (result == StreamResult::Cut)
+      ++Counts.Failed;
+    if (result == StreamResult::Interrupted)
       ++Counts.Unanswered;
-    Gaps.insert(Gaps.end(), checker.gaps().begin(), checker.gaps().end());
+    TokenGapsMs.insert(TokenGapsMs.end(), checker.gapsMs().begin(),
+                       checker.gapsMs().end());
   }
 
-  std::string promptWith(const std::string &marker) {
+  std::string makePrompt(const std::string &marker) {
     // A few shared beginnings, so that prefixes matter.
     const std::string topic = std::to_string(Random.below(20));
     std::string prompt = "You help pupils with exercise " + topic + ". ";
@@ -182,9 +184,9 @@
 
   asio::awaitable<StreamResult>
   readStream(http::Request request, StreamChecker &checker, std::string &id,
-             std::uint32_t dropAt, const std::string &marker,
-             base::Instant asked) {
-    StreamResult result = StreamResult::Cut;
+             std::uint32_t dropIndex, const std::string &marker,
+             base::Instant requestedAt) {
+    StreamResult result = StreamResult::Interrupted;
     const auto onHead = [&](const std::vector<http::Header> &headers) {
       for (const http::Header &h : headers)
         if (h.Name == "Drumlanding-Generation")
@@ -192,63 +194,63 @@
     };
     const auto onEvent = [&](const http::ServerEvent &event) {
       if (event.Name == "token") {
-        if (checker.next() == 0) {
+        if (checker.nextIndex() == 0) {
           const std::chrono::duration<double, std::milli> wait =
-              Time.now().Steady - asked;
-          FirstTokens.push_back(wait.count());
+              Time.now().Steady - requestedAt;
+          FirstTokenMs.push_back(wait.count());
         }
-        checker.token(event, Time.now().Steady);
-        if (checker.next() < dropAt)
+        checker.checkToken(event, Time.now().Steady);
+        if (checker.nextIndex() < dropIndex)
           return true;
         result = StreamResult::Dropped;
         return false;
       }
       result =
-          event.Name == "done" ? StreamResult::Whole : StreamResult::Failed;
+          event.Name == "done" ? StreamResult::Complete : StreamResult::Failed;
       if (event.Name == "error")
-        ++Reasons[reasonOf(event.Data)];
+        ++ErrorReasons[reasonOf(event.Data)];
       return false;
     };
     const http::StreamEnd end = co_await http::stream(
-        anyEntry(), std::move(request), StreamSilence, onEvent, onHead);
+        pickEntry(), std::move(request), StreamIdleTimeout, onEvent, onHead);
     if (end.Status == 0 || end.Status == 200)
       co_return result;
     const std::string reason = reasonOf(end.Body);
-    ++Reasons[reason];
+    ++ErrorReasons[reason];
     // An entry that just started does not know the agents yet.
     const bool isEarly = marker.empty() && reason == "not-ready";
     if (isEarly ||
-        (marker.empty() && reason == "not-found" && checker.next() == 0))
-      co_return StreamResult::Cut;
+        (marker.empty() && reason == "not-found" && checker.nextIndex() == 0))
+      co_return StreamResult::Interrupted;
     if (verdictOf(end.Body) == "not-run" && !marker.empty()) {
       ++Counts.Refused;
-      NotRun.insert(marker);
+      NotRunMarkers.insert(marker);
       co_return StreamResult::Refused;
     }
     co_return StreamResult::Failed;
   }
 
-  static std::string memberOf(const std::string &body, const char *name) {
+  static std::string errorField(const std::string &body, const char *name) {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("error"))
       return "none";
     return json["error"].value(name, "none");
   }
   static std::string reasonOf(const std::string &body) {
-    return memberOf(body, "reason");
+    return errorField(body, "reason");
   }
   static std::string verdictOf(const std::string &body) {
-    return memberOf(body, "verdict");
+    return errorField(body, "verdict");
   }
 
   // Calls of the plain service that may not be repeated.
 
-  asio::awaitable<void> oneCall() {
+  asio::awaitable<void> callService() {
     const std::string id = base::randomId();
-    const std::string key = uuid7(Time.now().Wall);
-    const std::string credential = anyCredential();
-    const bool repeats = Random.chance(FLAGS_repeat_part);
-    if (repeats)
+    const std::string key = makeUuid7(Time.now().Wall);
+    const std::string credential = pickCredential();
+    const bool isRepeated = Random.chance(FLAGS_repeat_part);
+    if (isRepeated)
       asio::co_spawn(Io, sendCall(id, key, credential, true), asio::detached);
     co_await sendCall(id, key, credential, false);
   }
@@ -261,7 +263,7 @@
         {{"Authorization", "Bearer " + credential}, {"Idempotency-Key", key}},
         Json{{"id", id}}.dump()};
     const auto fetched =
-        co_await http::fetch(anyEntry(), std::move(request), CallLimit);
+        co_await http::fetch(pickEntry(), std::move(request), CallTimeout);
     if (!ok(fetched.Outcome)) {
       Counts.Unanswered += isRepeat ? 0 : 1;
       co_return;
@@ -270,12 +272,12 @@
     if (response.Status == 200) {
       const Json json = Json::parse(response.Body, nullptr, false);
       if (!json.is_object() || json.value("id", "") != id)
-        ++Counts.Crossed;
-      Counts.Whole += isRepeat ? 0 : 1;
+        ++Counts.WrongResponses;
+      Counts.Complete += isRepeat ? 0 : 1;
       Answered.insert(id);
       co_return;
     }
-    ++Reasons[reasonOf(response.Body)];
+    ++ErrorReasons[reasonOf(response.Body)];
     if (isRepeat)
       co_return;
     if (verdictOf(response.Body) == "not-run") {
@@ -283,29 +285,29 @@
       // Its repeat may have run it all the same.
       co_return;
     }
-    ++Counts.Broken;
+    ++Counts.Failed;
   }
 
   /// Asks the stand-ins what really ran.
   asio::awaitable<void> checkRuns() {
     for (const base::Endpoint &engine : Engines) {
-      const Json started = co_await ask(engine, "/v1/test/started");
+      const Json started = co_await fetchJson(engine, "/v1/test/started");
       for (const auto &[marker, n] : started.items())
-        if (NotRun.contains(marker))
-          ++Counts.RanThoughNot;
+        if (NotRunMarkers.contains(marker))
+          ++Counts.RunsAfterNotRun;
     }
     std::map<std::string, int> runs;
     for (const base::Endpoint &service : Services) {
-      const Json all = co_await ask(service, "/v1/test/runs");
+      const Json all = co_await fetchJson(service, "/v1/test/runs");
       for (const auto &[id, n] : all.items())
         runs[id] += n.get<int>();
     }
     for (const auto &[id, n] : runs)
       if (!id.empty() && n > 1)
-        ++Counts.RanTwice;
+        ++Counts.DuplicateRuns;
   }
 
-  asio::awaitable<Json> ask(base::Endpoint to, std::string path) {
+  asio::awaitable<Json> fetchJson(base::Endpoint to, std::string path) {
     http::Request request;
     request.Method = "GET";
     request.Target = path;
@@ -324,32 +326,34 @@
     if ((!isLast && Time.now().Steady < NextProgress))
       return;
     NextProgress = Time.now().Steady + milliseconds(250);
-    const std::chrono::duration<double> since = Time.now().Steady - Started;
+    const std::chrono::duration<double> since = Time.now().Steady - StartedAt;
     std::fprintf(stderr,
                  "\rload: %5.1f s, %llu requests, %d open, %llu whole, "
                  "%llu tokens, %llu refused, %llu violations%s",
                  since.count(),
-                 static_cast<unsigned long long>(Counts.Requests), Open,
-                 static_cast<unsigned long long>(Counts.Whole),
+                 static_cast<unsigned long long>(Counts.Requests), OpenRequests,
+                 static_cast<unsigned long long>(Counts.Complete),
                  static_cast<unsigned long long>(Counts.Tokens),
                  static_cast<unsigned long long>(Counts.Refused),
                  static_cast<unsigned long long>(Counts.violations()),
                  isLast ? "\n" : "");
   }
 
-  void print() const {
+  void printCounts() const {
     fmt::print("requests={} whole={} tokens={} duplicates={} gaps={} mixed={} "
                "crossed={} ran_twice={} ran_though_not={} refusals={} "
                "broken={} unanswered={} resumed={} open={} "
                "first_token_p50_ms={:.0f} first_token_p95_ms={:.0f} "
                "gap_p50_ms={:.1f} gap_p95_ms={:.1f} gap_p99_ms={:.1f}",
-               Counts.Requests, Counts.Whole, Counts.Tokens, Counts.Duplicates,
-               Counts.Gaps, Counts.Mixed, Counts.Crossed, Counts.RanTwice,
-               Counts.RanThoughNot, Counts.Refused, Counts.Broken,
-               Counts.Unanswered, Counts.Resumed, Open,
-               quantile(FirstTokens, 0.5), quantile(FirstTokens, 0.95),
-               quantile(Gaps, 0.5), quantile(Gaps, 0.95), quantile(Gaps, 0.99));
-    for (const auto &[reason, n] : Reasons)
+               Counts.Requests, Counts.Complete, Counts.Tokens,
+               Counts.DuplicateTokens, Counts.IndexGaps, Counts.Mismatched,
+               Counts.WrongResponses, Counts.DuplicateRuns,
+               Counts.RunsAfterNotRun, Counts.Refused, Counts.Failed,
+               Counts.Unanswered, Counts.Resumed, OpenRequests,
+               quantile(FirstTokenMs, 0.5), quantile(FirstTokenMs, 0.95),
+               quantile(TokenGapsMs, 0.5), quantile(TokenGapsMs, 0.95),
+               quantile(TokenGapsMs, 0.99));
+    for (const auto &[reason, n] : ErrorReasons)
       fmt::print(" reason_{}={}", reason, n);
     fmt::print("\n");
   }
@@ -362,25 +366,25 @@
   std::vector<base::Endpoint> Services;
   std::vector<std::string> Credentials;
   LoadCounts Counts;
-  int Open = 0;
-  base::Instant Started{};
+  int OpenRequests = 0;
+  base::Instant StartedAt{};
   base::Instant NextProgress{};
-  std::set<std::string> NotRun;
+  std::set<std::string> NotRunMarkers;
   std::set<std::string> Answered;
-  std::map<std::string, int> Reasons;
-  std::vector<double> FirstTokens;
-  std::vector<double> Gaps;
+  std::map<std::string, int> ErrorReasons;
+  std::vector<double> FirstTokenMs;
+  std::vector<double> TokenGapsMs;
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "load: callers that check their answers", Flags);
+  readToolFlags(argc, argv, "load: callers that check their answers", Flags);
   if (FLAGS_credentials.empty())
     base::exitOnBadSettings(
         base::invalid("--credentials", "at least one is needed"));
   asio::io_context io(1);
-  Load load(io);
+  LoadGenerator load(io);
   asio::co_spawn(io, load.run(), asio::detached);
   io.run();
   return 1;
--- a/tools/policy-bench.cc
+++ b/tools/policy-bench.cc
@@ -1,6 +1,6 @@
 // policy-bench: measures the decisions on a virtual clock, against baselines
 // in the same run. Ends with one line of ratios, own policy to greedy.
-#include "policy-run.h"
+#include "policy-simulation.h"
 
 #include "drumlanding/base/settings.h"
 
@@ -62,11 +62,11 @@
                                       "step_target",  "csv",
                                       "ratios_only"};
 
-constexpr PolicyKind Kinds[] = {
+constexpr PolicyKind Policies[] = {
     PolicyKind::Greedy,      PolicyKind::Reserve, PolicyKind::RandomRoute,
     PolicyKind::LeastLoaded, PolicyKind::Oracle,  PolicyKind::Own};
 
-double numberOf(const std::string &flag, const std::string &text) {
+double parseNumber(const std::string &flag, const std::string &text) {
   try {
     return std::stod(text);
   } catch (const std::exception &) {
@@ -97,11 +97,11 @@
   setLengths(o, lengths);
   if (FLAGS_engines < 1 || FLAGS_engines > 64)
     base::exitOnBadSettings(base::invalid("--engines", "must be from 1 to 64"));
-  o.Engines = FLAGS_engines;
+  o.EngineCount = FLAGS_engines;
   o.ReportLag = base::milliseconds(FLAGS_report_lag);
-  o.Time = base::seconds(FLAGS_time);
-  o.Burst = FLAGS_burst;
-  o.OnlyOrganisation = FLAGS_only_organisation;
+  o.ArrivalTime = base::seconds(FLAGS_time);
+  o.BurstFactor = FLAGS_burst;
+  o.MeasuredOrganisation = FLAGS_only_organisation;
   o.StallWeight = FLAGS_stall_weight;
   o.GapWeight = FLAGS_gap_weight;
   if (FLAGS_risk >= 0)
@@ -128,7 +128,7 @@
 }
 
 /// The results of all policies under one load, seed and shape.
-struct Case {
+struct BenchCase {
   std::string Lengths;
   double Load = 0;
   std::uint64_t Seed = 0;
@@ -136,13 +136,13 @@
   std::map<PolicyKind, PolicyResult> Results;
 };
 
-void printRow(const Case &c, PolicyKind kind, std::FILE *out,
+void printRow(const BenchCase &c, PolicyKind kind, std::FILE *out,
               const char *format) {
   const PolicyResult &r = c.Results.at(kind);
   std::fprintf(out, format, c.Lengths.c_str(), c.Load,
                static_cast<unsigned long long>(c.Seed),
                std::string(toString(kind)).c_str(), r.PreemptionsPerThousand,
-               r.StallMsPerRequest, r.LongestStallS, r.GapP50Ms, r.GapP99Ms,
+               r.StallMsPerRequest, r.MaxStallS, r.GapP50Ms, r.GapP99Ms,
                r.GapP999Ms, r.FirstTokenP95Ms, r.TokensPerSecond,
                static_cast<unsigned long long>(r.Refused), r.Fairness);
 }
@@ -153,7 +153,7 @@
   return a / b;
 }
 
-void printRatios(const Case &c) {
+void printRatios(const BenchCase &c) {
   if (!c.Results.contains(PolicyKind::Own) ||
       !c.Results.contains(PolicyKind::Greedy))
     return;
@@ -172,29 +172,29 @@
               ratio(own.GapP99Ms, greedy.GapP99Ms),
               ratio(own.GapP999Ms, greedy.GapP999Ms),
               ratio(own.TokensPerSecond, greedy.TokensPerSecond), oracle,
-              own.LongestStallS, c.Lengths.c_str(), c.Load,
+              own.MaxStallS, c.Lengths.c_str(), c.Load,
               static_cast<unsigned long long>(c.Seed));
 }
 
-std::vector<PolicyKind> wantedKinds() {
+std::vector<PolicyKind> selectedPolicies() {
   if (FLAGS_policy == "all")
-    return {std::begin(Kinds), std::end(Kinds)};
-  for (PolicyKind kind : Kinds)
+    return {std::begin(Policies), std::end(Policies)};
+  for (PolicyKind kind : Policies)
     if (FLAGS_policy == toString(kind))
       return {kind};
   base::exitOnBadSettings(base::invalid(
       "--policy", "'" + FLAGS_policy + "' is not known; see --help"));
 }
 
-std::vector<Case> makeCases() {
-  std::vector<Case> cases;
+std::vector<BenchCase> makeBenchCases() {
+  std::vector<BenchCase> cases;
   for (const std::string &lengths : base::splitList(FLAGS_lengths))
     for (const std::string &load : base::splitList(FLAGS_load))
       for (const std::string &seed : base::splitList(FLAGS_seed)) {
-        Case c;
+        BenchCase c;
         c.Lengths = lengths;
-        c.Load = numberOf("--load", load);
-        c.Seed = static_cast<std::uint64_t>(numberOf("--seed", seed));
+        c.Load = parseNumber("--load", load);
+        c.Seed = static_cast<std::uint64_t>(parseNumber("--seed", seed));
         cases.push_back(std::move(c));
       }
   return cases;
@@ -208,15 +208,15 @@
       Flags);
   if (!ok(read))
     base::exitOnBadSettings(error(read));
-  std::vector<Case> cases = makeCases();
-  for (Case &c : cases)
-    for (PolicyKind kind : wantedKinds()) {
+  std::vector<BenchCase> cases = makeBenchCases();
+  for (BenchCase &c : cases)
+    for (PolicyKind kind : selectedPolicies()) {
       PolicyOptions o = makeOptions(c.Lengths);
       o.Policy = kind;
       o.Load = c.Load;
       o.Seed = c.Seed;
       c.Running[kind] =
-          std::async(std::launch::async, [o] { return runPolicy(o); });
+          std::async(std::launch::async, [o] { return simulatePolicy(o); });
     }
   std::FILE *csv =
       FLAGS_csv.empty() ? nullptr : std::fopen(FLAGS_csv.c_str(), "w");
@@ -236,8 +236,8 @@
                 "lengths", "load", "seed", "policy", "preempt/k", "stall ms",
                 "longest", "gap50", "gap99", "gap99.9", "first95", "tokens/s",
                 "refused", "fairness");
-  for (Case &c : cases) {
-    for (PolicyKind kind : wantedKinds()) {
+  for (BenchCase &c : cases) {
+    for (PolicyKind kind : selectedPolicies()) {
       c.Results[kind] = c.Running.at(kind).get();
       if (!FLAGS_ratios_only)
         printRow(c, kind, stdout, TableRow);
--- a/tools/policy-run.cc
+++ b/tools/policy-simulation.cc
@@ -1,4 +1,4 @@
-#include "policy-run.h"
+#include "policy-simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,20 +13,20 @@
 using base::Instant;
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t LongestOutput = 20'000;
-constexpr Duration ReportEvery = 500ms;
+constexpr std::uint32_t MaxOutputTokens = 20'000;
+constexpr Duration ReportInterval = 500ms;
 constexpr double DriftFactor = 3;
 constexpr int LargeOrganisations = 2;
-constexpr double LargeShare = 4;
-constexpr Duration ReclaimTime = 30s;
-constexpr Duration StalledTime = 60s;
+constexpr double LargeOrganisationShare = 4;
+constexpr Duration ReclaimDuration = 30s;
+constexpr Duration ReportStallTime = 60s;
 /// Admissions are counted over this time to predict a wait.
-constexpr Duration RateWindow = 20s;
+constexpr Duration AdmissionRateWindow = 20s;
 
-double secondsOf(Duration d) {
+double toSeconds(Duration d) {
   return std::chrono::duration<double>(d).count();
 }
-double msOf(Duration d) { return secondsOf(d) * 1'000; }
+double toMs(Duration d) { return toSeconds(d) * 1'000; }
 
 Duration fromSeconds(double s) {
   return Duration(static_cast<std::int64_t>(s * 1e9));
@@ -36,28 +36,30 @@
 class TimeHistogram {
 public:
   void add(Duration d) {
-    const double ms = std::max(msOf(d), LeastMs);
-    const auto at = static_cast<std::size_t>(std::log(ms / LeastMs) / Width);
+    const double ms = std::max(toMs(d), MinMs);
+    const auto at =
+        static_cast<std::size_t>(std::log(ms / MinMs) / LogBucketWidth);
     if (at >= Counts.size())
       Counts.resize(at + 1);
     ++Counts[at];
     ++Total;
   }
-  double quantileMs(double part) const {
-    const auto wanted =
-        static_cast<std::uint64_t>(part * static_cast<double>(Total));
+  double quantileMs(double fraction) const {
+    const auto rank =
+        static_cast<std::uint64_t>(fraction * static_cast<double>(Total));
     std::uint64_t sum = 0;
     for (std::size_t i = 0; i < Counts.size(); ++i) {
       sum += Counts[i];
-      if (sum > wanted)
-        return LeastMs * std::exp(Width * (static_cast<double>(i) + 0.5));
+      if (sum > rank)
+        return MinMs *
+               std::exp(LogBucketWidth * (static_cast<double>(i) + 0.5));
     }
     return 0;
   }
 
 private:
-  static constexpr double LeastMs = 0.1;
-  static constexpr double Width = 0.01;
+  static constexpr double MinMs = 0.1;
+  static constexpr double LogBucketWidth = 0.01;
   std::vector<std::uint64_t> Counts;
   std::uint64_t Total = 0;
 };
@@ -69,13 +71,13 @@
   Instant Arrived{};
   Instant LastToken{};
   /// Off the engine since its last token.
-  bool WasOff = false;
+  bool WasInterrupted = false;
   bool IsMeasured = false;
   std::size_t Engine = 0;
 };
 
 /// An engine, its agent's scheduler, and its last report.
-struct Worker {
+struct SimulatedServer {
   std::unique_ptr<agent::Scheduler> Scheduler;
   std::unique_ptr<EngineModel> Engine;
   EngineStep Step;
@@ -83,51 +85,51 @@
   Instant StepEnds{};
   std::deque<Instant> Admissions;
   entry::ServerView View;
-  struct LateReport {
+  struct PendingReport {
     Instant VisibleAt;
     entry::ServerView View;
   };
-  std::deque<LateReport> Reports;
+  std::deque<PendingReport> Reports;
   bool IsReclaimed = false;
 };
 
 double shareOf(int organisation) {
-  return organisation < LargeOrganisations ? LargeShare : 1;
+  return organisation < LargeOrganisations ? LargeOrganisationShare : 1;
 }
 
-class PolicyRun {
+class PolicySimulation {
 public:
-  explicit PolicyRun(const PolicyOptions &options)
+  explicit PolicySimulation(const PolicyOptions &options)
       : Options(options), Random(options.Seed), RouteRandom(options.Seed + 1),
         Routing(routerOptions()) {
-    for (int i = 0; i < Options.Engines; ++i)
-      Workers.push_back(makeWorker(i));
+    for (int i = 0; i < Options.EngineCount; ++i)
+      Servers.push_back(makeServer(i));
     measureMeanLength();
-    ArrivalsPerSecond =
-        Options.Load * Options.Engines * Options.Saturation / MeanLength;
+    ArrivalsPerSecond = Options.Load * Options.EngineCount *
+                        Options.SaturationTokensPerSecond / MeanOutputTokens;
   }
 
   PolicyResult run() {
-    const Instant end = Start + Options.Time;
-    NextArrival = Start + nextGap();
+    const Instant end = Start + Options.ArrivalTime;
+    NextArrival = Start + drawInterarrivalTime();
     NextReport = Start;
     while (true) {
       Now = std::min(NextArrival, NextReport);
-      std::size_t stepping = Workers.size();
-      for (std::size_t i = 0; i < Workers.size(); ++i)
-        if (Workers[i].IsStepping && Workers[i].StepEnds < Now) {
-          Now = Workers[i].StepEnds;
-          stepping = i;
+      std::size_t nextServer = Servers.size();
+      for (std::size_t i = 0; i < Servers.size(); ++i)
+        if (Servers[i].IsStepping && Servers[i].StepEnds < Now) {
+          Now = Servers[i].StepEnds;
+          nextServer = i;
         }
       if (Now >= end)
         break;
-      strike();
-      if (stepping < Workers.size())
-        endStep(stepping);
+      injectFault();
+      if (nextServer < Servers.size())
+        endStep(nextServer);
       else if (Now == NextReport)
         report();
       else
-        arrive();
+        addArrival();
     }
     return result();
   }
@@ -142,8 +144,8 @@
     return r;
   }
 
-  Worker makeWorker(int i) {
-    Worker w;
+  SimulatedServer makeServer(int i) {
+    SimulatedServer w;
     agent::SchedulerOptions o = Options.Scheduling;
     o.CapacityTokens = Options.Engine.CapacityTokens;
     if (Options.Policy == PolicyKind::Greedy)
@@ -160,7 +162,7 @@
       o.OverShareCapacityFraction = 1;
       o.Survival = [this](const agent::JobView &view, std::uint32_t more) {
         const Request &r = Requests.at(view.Id);
-        return view.Produced + more < r.Job.Length ? 1.0 : 0.0;
+        return view.Produced + more < r.Job.OutputTokens ? 1.0 : 0.0;
       };
     }
     w.Scheduler = std::make_unique<agent::Scheduler>(std::move(o));
@@ -173,73 +175,79 @@
 
   // What arrives.
 
-  RequestSizes draw(base::Random &random) const {
+  RequestSizes drawSizes(base::Random &random) const {
     switch (Options.Lengths) {
     case LengthSource::Pwani:
-      return drawSizes(LengthShape::Pwani, random);
+      return drawRequestSizes(LengthDistribution::Pwani, random);
     case LengthSource::Mixed:
-      return drawSizes(LengthShape::Mixed, random);
+      return drawRequestSizes(LengthDistribution::Mixed, random);
     case LengthSource::File: {
-      RequestSizes sizes = drawSizes(LengthShape::Lernwerk, random);
-      sizes.Length =
+      RequestSizes sizes =
+          drawRequestSizes(LengthDistribution::Lernwerk, random);
+      sizes.OutputTokens =
           Options.FileLengths[random.below(Options.FileLengths.size())];
       return sizes;
     }
     default:
-      return drawSizes(LengthShape::Lernwerk, random);
+      return drawRequestSizes(LengthDistribution::Lernwerk, random);
     }
   }
 
   void measureMeanLength() {
-    base::Random sampler(12345);
+    base::Random sampleRandom(12345);
     constexpr int Samples = 200'000;
-    double lengths = 0;
+    double totalTokens = 0;
     for (int i = 0; i < Samples; ++i)
-      lengths += draw(sampler).Length;
-    MeanLength = lengths / Samples;
+      totalTokens += drawSizes(sampleRandom).OutputTokens;
+    MeanOutputTokens = totalTokens / Samples;
   }
 
-  Duration nextGap() {
+  Duration drawInterarrivalTime() {
     double rate = ArrivalsPerSecond;
-    if (hasDrifted() && Options.Lengths == LengthSource::Drift)
+    if (isSecondHalf() && Options.Lengths == LengthSource::Drift)
       rate /= DriftFactor;
     return fromSeconds(-std::log(1 - Random.unit()) / rate);
   }
 
-  bool hasDrifted() const { return Now - Start > Options.Time / 2; }
+  bool isSecondHalf() const { return Now - Start > Options.ArrivalTime / 2; }
 
   int drawOrganisation() {
     double total = 0;
     const auto weight = [&](int o) {
-      const bool bursts = o == 0 && hasDrifted();
-      return shareOf(o) * (bursts ? Options.Burst : 1);
+      const bool bursts = o == 0 && isSecondHalf();
+      return shareOf(o) * (bursts ? Options.BurstFactor : 1);
     };
-    for (int o = 0; o < Options.Organisations; ++o)
+    for (int o = 0; o < Options.OrganisationCount; ++o)
       total += weight(o);
     double at = Random.unit() * total;
-    for (int o = 0; o < Options.Organisations; ++o) {
+    for (int o = 0; o < Options.OrganisationCount; ++o) {
       at -= weight(o);
       if (at < 0)
         return o;
     }
-    return Options.Organisations - 1;
+    return Options.OrganisationCount - 1;
   }
 
-  void arrive() {
+  void addArrival() {
     // The extra requests of a burst come on top of everybody's usual ones.
-    double speedUp = 1;
-    if (Options.Burst > 1 && hasDrifted()) {
-      const double usual = LargeOrganisations * LargeShare +
-                           (Options.Organisations - LargeOrganisations);
-      speedUp = (usual + LargeShare * (Options.Burst - 1)) / usual;
+    double rateFactor = 1;
+    if (Options.BurstFactor > 1 && isSecondHalf()) {
+      const double normalWeight =
+          LargeOrganisations * LargeOrganisationShare +
+          (Options.OrganisationCount - LargeOrganisations);
+      rateFactor =
+          (normalWeight + LargeOrganisationShare * (Options.BurstFactor - 1)) /
+          normalWeight;
     }
-    NextArrival = Now + Duration(static_cast<std::int64_t>(
-                            static_cast<double>(nextGap().count()) / speedUp));
-    RequestSizes sizes = draw(Random);
-    if (Options.Lengths == LengthSource::Drift && hasDrifted())
-      sizes.Length = std::min<std::uint32_t>(
-          LongestOutput,
-          static_cast<std::uint32_t>(sizes.Length * DriftFactor));
+    NextArrival =
+        Now +
+        Duration(static_cast<std::int64_t>(
+            static_cast<double>(drawInterarrivalTime().count()) / rateFactor));
+    RequestSizes sizes = drawSizes(Random);
+    if (Options.Lengths == LengthSource::Drift && isSecondHalf())
+      sizes.OutputTokens = std::min<std::uint32_t>(
+          MaxOutputTokens,
+          static_cast<std::uint32_t>(sizes.OutputTokens * DriftFactor));
     const JobId id = ++LastId;
     Request &r = Requests[id];
     r.Organisation = drawOrganisation();
@@ -247,10 +255,10 @@
     r.IsMeasured = isMeasuredNow(r.Organisation);
     r.Job.Id = id;
     r.Job.PromptTokens = sizes.PromptTokens;
-    r.Job.Length = sizes.Length;
-    if (Random.chance(Options.SharedPart)) {
-      r.Job.Prefix =
-          1 + Random.below(static_cast<std::uint64_t>(Options.Prefixes));
+    r.Job.OutputTokens = sizes.OutputTokens;
+    if (Random.chance(Options.SharedPrefixFraction)) {
+      r.Job.PrefixHash =
+          1 + Random.below(static_cast<std::uint64_t>(Options.PrefixCount));
       r.Job.PrefixTokens = sizes.PromptTokens / 2;
     }
     if (r.IsMeasured)
@@ -261,30 +269,30 @@
   bool isMeasuredNow(int organisation) const {
     // A drift or a burst is what such a run is about.
     const bool isSecondHalfOnly = Options.Lengths == LengthSource::Drift ||
-                                  Options.Burst > 1 ||
-                                  Options.OnlyOrganisation != -1;
-    if (Now - Start < Options.WarmUp || (isSecondHalfOnly && !hasDrifted()))
+                                  Options.BurstFactor > 1 ||
+                                  Options.MeasuredOrganisation != -1;
+    if (Now - Start < Options.WarmUp || (isSecondHalfOnly && !isSecondHalf()))
       return false;
-    if (Options.OnlyOrganisation == -2)
+    if (Options.MeasuredOrganisation == -2)
       return organisation != 0;
-    return Options.OnlyOrganisation == -1 ||
-           Options.OnlyOrganisation == organisation;
+    return Options.MeasuredOrganisation == -1 ||
+           Options.MeasuredOrganisation == organisation;
   }
 
   void route(JobId id, Request &r) {
     std::vector<entry::ServerView> views;
-    for (const Worker &w : Workers)
+    for (const SimulatedServer &w : Servers)
       views.push_back(w.View);
     const entry::RouteQuery query{
-        Options.Policy == PolicyKind::Greedy ? 0 : r.Job.Prefix,
-        static_cast<double>(r.Job.PromptTokens) + MeanLength};
+        Options.Policy == PolicyKind::Greedy ? 0 : r.Job.PrefixHash,
+        static_cast<double>(r.Job.PromptTokens) + MeanOutputTokens};
     const auto chosen = Routing.choose(views, query, Now, RouteRandom);
     if (!chosen) {
       refuse(id, r);
       return;
     }
     r.Engine = *chosen;
-    Worker &w = Workers[*chosen];
+    SimulatedServer &w = Servers[*chosen];
     ++w.View.SentSinceReport;
     agent::JobSpec spec;
     spec.Organisation = "o" + std::to_string(r.Organisation);
@@ -293,7 +301,7 @@
     spec.StallWeight = Options.StallWeight;
     spec.GapWeight = Options.GapWeight;
     spec.PromptTokens = r.Job.PromptTokens;
-    spec.MaxTokens = LongestOutput;
+    spec.MaxTokens = MaxOutputTokens;
     spec.MaxQueueWait = Options.MaxQueueWait;
     if (predictedWait(w, spec) > Options.MaxQueueWait) {
       refuse(id, r);
@@ -304,13 +312,17 @@
       beginStep(*chosen);
   }
 
-  base::milliseconds predictedWait(Worker &w, const agent::JobSpec &spec) {
+  base::milliseconds predictedWait(SimulatedServer &w,
+                                   const agent::JobSpec &spec) {
     if (Options.Policy != PolicyKind::Greedy)
       return w.Scheduler->predictedWait(spec);
-    while (!w.Admissions.empty() && Now - w.Admissions.front() > RateWindow)
+    while (!w.Admissions.empty() &&
+           Now - w.Admissions.front() > AdmissionRateWindow)
       w.Admissions.pop_front();
-    const double rate = std::max<double>(
-        static_cast<double>(w.Admissions.size()) / secondsOf(RateWindow), 0.1);
+    const double rate =
+        std::max<double>(static_cast<double>(w.Admissions.size()) /
+                             toSeconds(AdmissionRateWindow),
+                         0.1);
     return base::milliseconds(static_cast<std::int64_t>(
         1'000 * static_cast<double>(w.Engine->queued()) / rate));
   }
@@ -324,14 +336,14 @@
   // Engines.
 
   void beginStep(std::size_t i) {
-    Worker &w = Workers[i];
+    SimulatedServer &w = Servers[i];
     if (w.IsReclaimed)
       return;
     const agent::Decisions decisions = w.Scheduler->decide(Now);
     for (JobId id : decisions.Yield) {
       Request &r = Requests.at(id);
       r.Job = w.Engine->stop(id);
-      setOff(r);
+      markInterrupted(r);
       w.Scheduler->recordYielded(Now, id);
     }
     // Room that a yield has made is used in the same step.
@@ -342,27 +354,27 @@
         w.Engine->submit(Requests.at(id).Job);
     w.Step = w.Engine->step();
     for (JobId id : w.Step.Preempted)
-      setOff(Requests.at(id));
-    w.IsStepping = w.Step.Took.count() > 0;
-    w.StepEnds = Now + w.Step.Took;
+      markInterrupted(Requests.at(id));
+    w.IsStepping = w.Step.Elapsed.count() > 0;
+    w.StepEnds = Now + w.Step.Elapsed;
   }
 
-  void setOff(Request &r) {
-    r.WasOff = true;
+  void markInterrupted(Request &r) {
+    r.WasInterrupted = true;
     if (isMeasuredNow(r.Organisation))
       ++Preemptions;
   }
 
   void endStep(std::size_t i) {
-    Worker &w = Workers[i];
+    SimulatedServer &w = Servers[i];
     w.IsStepping = false;
-    w.Scheduler->recordStep(w.Step.Took, w.Step.PrefillTokens);
+    w.Scheduler->recordStep(w.Step.Elapsed, w.Step.PrefillTokens);
     for (const EngineToken &token : w.Step.Tokens)
       deliver(w, token);
     beginStep(i);
   }
 
-  void deliver(Worker &w, const EngineToken &token) {
+  void deliver(SimulatedServer &w, const EngineToken &token) {
     const auto it = Requests.find(token.Id);
     if (it == Requests.end())
       return;
@@ -378,13 +390,13 @@
       FirstTokens.add(Now - r.Arrived);
     if (r.IsMeasured && token.Index > 0) {
       const Duration gap = Now - r.LastToken;
-      Gaps.add(gap);
-      if (r.WasOff) {
+      TokenGaps.add(gap);
+      if (r.WasInterrupted) {
         Stall += gap;
-        LongestStall = std::max(LongestStall, gap);
+        MaxStall = std::max(MaxStall, gap);
       }
     }
-    r.WasOff = false;
+    r.WasInterrupted = false;
     r.LastToken = Now;
     if (!token.IsLast)
       return;
@@ -395,12 +407,13 @@
   // Reports and faults.
 
   void report() {
-    NextReport = Now + ReportEvery;
-    for (std::size_t i = 0; i < Workers.size(); ++i) {
-      Worker &w = Workers[i];
-      const bool isStalled = Options.Fault == PolicyFault::ReportStalled &&
-                             i == 0 && hasDrifted() &&
-                             Now - Start < Options.Time / 2 + StalledTime;
+    NextReport = Now + ReportInterval;
+    for (std::size_t i = 0; i < Servers.size(); ++i) {
+      SimulatedServer &w = Servers[i];
+      const bool isStalled =
+          Options.Fault == PolicyFault::ReportStalled && i == 0 &&
+          isSecondHalf() &&
+          Now - Start < Options.ArrivalTime / 2 + ReportStallTime;
       if (!isStalled && !w.IsReclaimed) {
         const agent::SchedulerLoad load = w.Scheduler->load();
         entry::ServerView view = w.View;
@@ -422,13 +435,13 @@
     }
   }
 
-  void strike() {
-    if (Options.Fault != PolicyFault::EngineReclaimed || Workers.size() < 2)
+  void injectFault() {
+    if (Options.Fault != PolicyFault::EngineReclaimed || Servers.size() < 2)
       return;
-    Worker &w = Workers[0];
-    const Duration since = Now - Start - Options.Time / 2;
-    if (!w.IsReclaimed && since.count() > 0 && since < ReclaimTime) {
-      w = makeWorker(0);
+    SimulatedServer &w = Servers[0];
+    const Duration since = Now - Start - Options.ArrivalTime / 2;
+    if (!w.IsReclaimed && since.count() > 0 && since < ReclaimDuration) {
+      w = makeServer(0);
       w.IsReclaimed = true;
       w.View.IsUsable = false;
       std::erase_if(Requests, [&](const auto &entry) {
@@ -438,30 +451,32 @@
         return true;
       });
     }
-    if (w.IsReclaimed && since >= ReclaimTime)
+    if (w.IsReclaimed && since >= ReclaimDuration)
       w.IsReclaimed = false;
   }
 
   PolicyResult result() {
     const auto requests =
         static_cast<double>(std::max<std::uint64_t>(Result.Requests, 1));
-    const bool isHalf = Options.Lengths == LengthSource::Drift ||
-                        Options.Burst > 1 || Options.OnlyOrganisation != -1;
-    const Duration measured =
-        isHalf ? Duration(Options.Time) / 2 : Options.Time - Options.WarmUp;
+    const bool isSecondHalfOnly = Options.Lengths == LengthSource::Drift ||
+                                  Options.BurstFactor > 1 ||
+                                  Options.MeasuredOrganisation != -1;
+    const Duration measured = isSecondHalfOnly
+                                  ? Duration(Options.ArrivalTime) / 2
+                                  : Options.ArrivalTime - Options.WarmUp;
     Result.PreemptionsPerThousand =
         1'000 * static_cast<double>(Preemptions) / requests;
-    Result.StallMsPerRequest = msOf(Stall) / requests;
+    Result.StallMsPerRequest = toMs(Stall) / requests;
     // A request that is still off has stalled until now.
     for (const auto &[id, r] : Requests)
-      if (r.IsMeasured && r.WasOff && r.LastToken > Start)
-        LongestStall = std::max(LongestStall, Now - r.LastToken);
-    Result.LongestStallS = secondsOf(LongestStall);
-    Result.GapP50Ms = Gaps.quantileMs(0.5);
-    Result.GapP99Ms = Gaps.quantileMs(0.99);
-    Result.GapP999Ms = Gaps.quantileMs(0.999);
+      if (r.IsMeasured && r.WasInterrupted && r.LastToken > Start)
+        MaxStall = std::max(MaxStall, Now - r.LastToken);
+    Result.MaxStallS = toSeconds(MaxStall);
+    Result.GapP50Ms = TokenGaps.quantileMs(0.5);
+    Result.GapP99Ms = TokenGaps.quantileMs(0.99);
+    Result.GapP999Ms = TokenGaps.quantileMs(0.999);
     Result.FirstTokenP95Ms = FirstTokens.quantileMs(0.95);
-    Result.TokensPerSecond = static_cast<double>(Tokens) / secondsOf(measured);
+    Result.TokensPerSecond = static_cast<double>(Tokens) / toSeconds(measured);
     double sum = 0;
     double squares = 0;
     for (const auto &[o, tokens] : OrganisationTokens) {
@@ -477,20 +492,20 @@
   base::Random Random;
   base::Random RouteRandom;
   entry::Router Routing;
-  std::vector<Worker> Workers;
+  std::vector<SimulatedServer> Servers;
   std::unordered_map<JobId, Request> Requests;
   const Instant Start = Instant(1h);
   Instant Now = Start;
   Instant NextArrival{};
   Instant NextReport{};
-  double MeanLength = 0;
+  double MeanOutputTokens = 0;
   double ArrivalsPerSecond = 0;
   JobId LastId = 0;
   PolicyResult Result;
-  TimeHistogram Gaps;
+  TimeHistogram TokenGaps;
   TimeHistogram FirstTokens;
   Duration Stall{0};
-  Duration LongestStall{0};
+  Duration MaxStall{0};
   std::uint64_t Preemptions = 0;
   std::uint64_t Tokens = 0;
   std::unordered_map<int, double> OrganisationTokens;
@@ -501,26 +516,26 @@
 double saturatedTokensPerSecond(const PolicyOptions &options) {
   PolicyOptions o = options;
   o.Policy = PolicyKind::Greedy;
-  o.Engines = 1;
+  o.EngineCount = 1;
   o.Load = 1;
   // Above what any of the shapes lets an engine produce.
-  o.Saturation = 3'000;
+  o.SaturationTokensPerSecond = 3'000;
   o.Seed = 4711;
   o.Fault = PolicyFault::None;
-  o.Burst = 1;
-  o.OnlyOrganisation = -1;
-  o.Time = base::seconds(1'000);
+  o.BurstFactor = 1;
+  o.MeasuredOrganisation = -1;
+  o.ArrivalTime = base::seconds(1'000);
   o.WarmUp = base::seconds(100);
   if (o.Lengths == LengthSource::Drift)
     o.Lengths = LengthSource::Lernwerk;
-  return PolicyRun(o).run().TokensPerSecond;
+  return PolicySimulation(o).run().TokensPerSecond;
 }
 
-PolicyResult runPolicy(const PolicyOptions &options) {
+PolicyResult simulatePolicy(const PolicyOptions &options) {
   PolicyOptions o = options;
-  if (o.Saturation <= 0)
-    o.Saturation = saturatedTokensPerSecond(options);
-  return PolicyRun(o).run();
+  if (o.SaturationTokensPerSecond <= 0)
+    o.SaturationTokensPerSecond = saturatedTokensPerSecond(options);
+  return PolicySimulation(o).run();
 }
 std::string_view toString(PolicyKind kind) {
   switch (kind) {
--- a/tools/policy-run.h
+++ b/tools/policy-simulation.h
@@ -36,23 +36,23 @@
   /// they are offered more than they can take (the greedy baseline).
   double Load = 1;
   /// Tokens a second of load 1 for one engine; 0 measures it first.
-  double Saturation = 0;
+  double SaturationTokensPerSecond = 0;
   std::uint64_t Seed = 1;
   LengthSource Lengths = LengthSource::Lernwerk;
   /// Output lengths of LengthSource::File.
   std::vector<std::uint32_t> FileLengths;
-  int Engines = 1;
+  int EngineCount = 1;
   base::milliseconds ReportLag{500};
   PolicyFault Fault = PolicyFault::None;
   /// Virtual time in which requests arrive, and the part that is not measured.
-  base::seconds Time{600};
+  base::seconds ArrivalTime{600};
   base::seconds WarmUp{60};
-  int Organisations = 10;
+  int OrganisationCount = 10;
   /// One organisation sends this many times its part, from the middle on.
-  double Burst = 1;
+  double BurstFactor = 1;
   /// The organisation whose figures are given; -1 for all, -2 for all but the
   /// one that bursts.
-  int OnlyOrganisation = -1;
+  int MeasuredOrganisation = -1;
   double StallWeight = 1;
   double GapWeight = 1;
   /// Requests are refused when their predicted wait is longer.
@@ -60,8 +60,8 @@
   agent::SchedulerOptions Scheduling;
   EngineOptions Engine;
   /// Part of the prompts that share a beginning, and how many beginnings.
-  double SharedPart = 0.5;
-  int Prefixes = 40;
+  double SharedPrefixFraction = 0.5;
+  int PrefixCount = 40;
 };
 
 struct PolicyResult {
@@ -70,7 +70,7 @@
   double PreemptionsPerThousand = 0;
   /// Time off the engine between two tokens, for each request.
   double StallMsPerRequest = 0;
-  double LongestStallS = 0;
+  double MaxStallS = 0;
   double GapP50Ms = 0;
   double GapP99Ms = 0;
   double GapP999Ms = 0;
@@ -80,7 +80,7 @@
   double Fairness = 0;
 };
 
-PolicyResult runPolicy(const PolicyOptions &options);
+PolicyResult simulatePolicy(const PolicyOptions &options);
 
 /// Measures PolicyOptions::Saturation.
 double saturatedTokensPerSecond(const PolicyOptions &options);
--- a/tools/stand-in.h
+++ b/tools/tool-support.h
@@ -36,20 +36,21 @@
   return jsonResponse(status, {{"error", message}});
 }
 
-inline std::uint64_t numberOf(std::string_view text, std::uint64_t otherwise) {
-  std::uint64_t n = otherwise;
+inline std::uint64_t parseNumberOr(std::string_view text,
+                                   std::uint64_t fallback) {
+  std::uint64_t n = fallback;
   std::from_chars(text.data(), text.data() + text.size(), n);
   return n;
 }
 
 /// Reads a stand-in's flags or exits with 2.
-inline void readStandInFlags(int argc, char **argv, std::string_view synopsis,
-                             std::span<const std::string_view> flags) {
+inline void readToolFlags(int argc, char **argv, std::string_view synopsis,
+                          std::span<const std::string_view> flags) {
   if (sodium_init() < 0)
     std::exit(2);
-  const auto words = base::readSettings(argc, argv, synopsis, flags);
-  if (!ok(words))
-    base::exitOnBadSettings(error(words));
+  const auto settings = base::readSettings(argc, argv, synopsis, flags);
+  if (!ok(settings))
+    base::exitOnBadSettings(error(settings));
 }
 
 /// Serves until SIGTERM on one thread.
