--- a/tools/capacity-bench.cc
+++ b/tools/capacity-bench.cc
@@ -1,7 +1,7 @@
-// capacity-bench: the slopes of docs/CAPACITY.md, measured on the real cores:
-// memory, processor time and bytes for each stream, server, organisation,
-// token, report and change. Three sizes each, and the straight line through
-// them.
+// capacity-bench: measures the linear costs in docs/CAPACITY.md on the
+// production cores: memory, CPU time and bytes per stream, server,
+// organisation, token, report and change. Each cost is measured at three sizes
+// and fitted with a straight line.
 #include "drumlanding/agent/core.h"
 #include "drumlanding/base/hash.h"
 #include "drumlanding/bundle/signature.h"
@@ -25,13 +25,13 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-/// Memory in use on the heap, in bytes.
+/// Returns the heap memory in use, in bytes.
 double heapBytes() {
   const struct mallinfo2 info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-/// Processor time of this thread, in microseconds.
+/// Returns the CPU time of this thread, in microseconds.
 double cpuMicros() {
   timespec t{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
@@ -44,7 +44,7 @@
   double Value = 0;
 };
 
-/// Prints the samples and the least-squares line through them.
+/// Prints the samples and the line fitted to them by least squares.
 void printFit(const char *name, const char *unit, const char *per,
               const std::vector<Sample> &samples) {
   double n = 0;
@@ -82,7 +82,7 @@
             {"gapWeight", 1}}}};
 }
 
-/// Makes signed bundles of any size.
+/// Signs bundles with a given number of organisations and servers.
 struct BundleSigner {
   bundle::KeyPair Author = bundle::makeKeyPair();
   bundle::KeyPair Approver = bundle::makeKeyPair();
@@ -167,7 +167,7 @@
   }
 }
 
-/// Feeds `tokens` tokens to each of `n` streams, in rounds of one.
+/// Delivers `tokens` tokens to each of `n` streams, one per stream in turn.
 void deliverTokens(agent::Core &core, int n, int from, int tokens) {
   for (int t = from; t < from + tokens; ++t)
     for (int i = 0; i < n; ++i)
@@ -250,7 +250,9 @@
   return core;
 }
 
-/// Answers every Sync of a round, as the agents would.
+/// Runs one tick of the entry and replies to each message as an agent would.
+/// Returns the entry's CPU time in microseconds and adds the sealed messages'
+/// sizes to `bytes`.
 double runSyncRound(entry::Core &core, double &bytes) {
   Time.advance(600ms);
   double spent = 0;
@@ -339,7 +341,7 @@
     }
     memory.push_back({double(n), heapBytes() - before});
     requestCpu.push_back({double(n), spent});
-    // Replies to polls with one token for each stream.
+    // Reply to each poll with one token per stream.
     double tokenCpu = 0;
     constexpr std::uint32_t Rounds = 50;
     std::map<std::string, entry::MessageId> polls;
--- a/tools/decision-bench.cc
+++ b/tools/decision-bench.cc
@@ -1,4 +1,5 @@
-// decision-bench: what a decision costs, and how it grows (Google Benchmark).
+// decision-bench: measures the CPU time of admission, token accounting and
+// routing at two sizes each (Google Benchmark).
 #include "drumlanding/agent/scheduler.h"
 #include "drumlanding/entry/router.h"
 
@@ -9,7 +10,7 @@
 using namespace drumlanding;
 using namespace std::chrono_literals;
 
-/// Admits one generation beside `n` running ones, and takes it off again.
+/// Admits one generation while `n` others run, and removes it.
 void admission(benchmark::State &state) {
   const auto running = static_cast<std::uint64_t>(state.range(0));
   agent::SchedulerOptions options;
@@ -35,7 +36,7 @@
 }
 BENCHMARK(admission)->Arg(256)->Arg(2'560);
 
-/// Notes one token of one of `n` running generations.
+/// Records one token for one of `n` running generations.
 void token(benchmark::State &state) {
   const auto running = static_cast<std::uint64_t>(state.range(0));
   agent::SchedulerOptions options;
@@ -55,7 +56,7 @@
 }
 BENCHMARK(token)->Arg(256)->Arg(2'560);
 
-/// Routes among `n` candidates.
+/// Routes one request among `n` candidate servers.
 void route(benchmark::State &state) {
   const entry::Router router({});
   base::Random random(1);
--- a/tools/engine-model.cc
+++ b/tools/engine-model.cc
@@ -27,8 +27,9 @@
   return static_cast<std::uint32_t>(std::clamp<double>(n, 1, max));
 }
 
-/// Short answers with a heavy tail: two lines or forty. The prompt holds the
-/// exercise and what was said before.
+/// Draws from the Lernwerk distribution: mostly short outputs with a heavy
+/// tail, from two lines to forty. The prompt holds an exercise and the
+/// conversation so far.
 RequestSizes drawLernwerk(base::Random &random) {
   const bool isLong = random.chance(0.03);
   const double length =
@@ -37,8 +38,8 @@
           clampTokens(length, MaxOutputTokens)};
 }
 
-/// Classifications of a few tokens, and summaries that run far on. The prompt
-/// holds a part of the transcript.
+/// Draws from the Pwani distribution: classifications of a few tokens and long
+/// summaries. The prompt holds part of a transcript.
 RequestSizes drawPwani(base::Random &random) {
   const bool isSummary = random.chance(0.35);
   const double length =
@@ -50,7 +51,8 @@
 } // namespace
 
 void EngineModel::submit(const EngineJob &job) {
-  // Higher priorities first, in order of arrival among equals.
+  // Insert before the first job of lower priority, which keeps arrival order
+  // among equal priorities.
   const auto it =
       std::find_if(Queue.begin(), Queue.end(), [&](const EngineJob &other) {
         return other.Priority < job.Priority;
@@ -132,7 +134,7 @@
 EngineStep EngineModel::step() {
   EngineStep out;
   preempt(out);
-  // What was just preempted would only come back to be preempted again.
+  // A job preempted in this step would be admitted and preempted again.
   if (out.Preempted.empty())
     admit(out);
   if (Running.empty())
--- a/tools/engine-model.h
+++ b/tools/engine-model.h
@@ -1,11 +1,13 @@
-/// Engine model: a model engine in steps, without I/O: continuous batching,
-/// limited memory that can fill in mid-decode, priorities, a prefix cache.
+/// Step-by-step simulation of an inference engine, without I/O: continuous
+/// batching, a KV cache that can fill up during decoding, request priorities,
+/// and a prefix cache.
 ///
 ///   EngineModel engine(options);
 ///   engine.submit(job);
-///   EngineStep step = engine.step(); // step.Took, step.Tokens
+///   EngineStep step = engine.step(); // step.Elapsed, step.Tokens
 ///
-/// `fake-engine` runs it in real time, `policy-bench` on a virtual clock.
+/// `fake-engine` runs the model in real time, `policy-bench` on a virtual
+/// clock.
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -20,24 +22,28 @@
 
 namespace drumlanding::tools {
 
-/// Costs and sizes; times in milliseconds.
+/// Sizes and costs of a simulated engine.
 struct EngineOptions {
+  /// Size of the KV cache, in tokens.
   std::uint64_t CapacityTokens = 60'000;
+  /// Fixed duration of a step.
   double StepMs = 15;
+  /// Added to a step for each running stream.
   double StreamMs = 0.15;
+  /// Added to a step for each token that it prefills.
   double PrefillTokenMs = 0.1;
-  /// Memory for cached prefixes, besides CapacityTokens; 0 for no cache.
+  /// Size of the prefix cache, in addition to CapacityTokens; 0 disables it.
   std::uint64_t CacheCapacityTokens = 12'000;
 };
 
 struct EngineJob {
   std::uint64_t Id = 0;
   std::uint32_t PromptTokens = 0;
-  /// Tokens it will produce; the outside does not know.
+  /// Number of tokens the job will produce. Schedulers have no access to it.
   std::uint32_t OutputTokens = 0;
   int Priority = 5;
   std::uint32_t Produced = 0;
-  /// Hash and size of the shared beginning of the prompt; 0 for none.
+  /// Hash and size of the prompt's shared prefix; 0 if it has none.
   std::uint64_t PrefixHash = 0;
   std::uint32_t PrefixTokens = 0;
   std::uint64_t tokens() const { return PromptTokens + Produced; }
@@ -49,7 +55,7 @@
   bool IsLast = false;
 };
 
-/// A change of the prefix cache.
+/// An insertion into the prefix cache or an eviction from it.
 struct CacheEvent {
   std::uint64_t PrefixHash = 0;
   bool Added = false;
@@ -67,11 +73,12 @@
 public:
   explicit EngineModel(EngineOptions options) : Options(options) {}
 
-  /// Puts a job into the engine's own queue.
+  /// Adds a job to the engine's queue: higher priorities first, then in order
+  /// of arrival.
   void submit(const EngineJob &job);
-  /// Takes a job off; returns what it was, with Id 0 when it is not there.
+  /// Removes a running or queued job and returns it; Id is 0 if there is none.
   EngineJob stop(std::uint64_t id);
-  /// Runs one step. Takes no time when there is nothing to do.
+  /// Runs one step. Elapsed is 0 if no job runs.
   EngineStep step();
 
   bool isIdle() const { return Running.empty() && Queue.empty(); }
@@ -87,7 +94,7 @@
   void addToCache(const EngineJob &job, EngineStep &out);
 
   EngineOptions Options;
-  /// In order of admission: the newest is preempted first.
+  /// In order of admission; the last admitted job is preempted first.
   std::vector<EngineJob> Running;
   std::deque<EngineJob> Queue;
   std::uint64_t UsedTokens = 0;
@@ -95,19 +102,20 @@
     std::uint64_t Hash = 0;
     std::uint32_t Tokens = 0;
   };
-  /// Least recently used last.
+  /// Ordered from the most to the least recently used.
   std::list<CachedPrefix> Cached;
   std::uint64_t CachedTokens = 0;
 };
 
-/// The shapes of output lengths that the benches and stand-ins know.
+/// Distributions of prompt and output lengths. Mixed draws from either of the
+/// other two with equal probability.
 enum class LengthDistribution { Lernwerk, Pwani, Mixed };
 
-/// Draws the sizes of one request.
 struct RequestSizes {
   std::uint32_t PromptTokens = 0;
   std::uint32_t OutputTokens = 0;
 };
+/// Draws the sizes of one request.
 RequestSizes drawRequestSizes(LengthDistribution distribution,
                               base::Random &random);
 
--- a/tools/fake-engine.cc
+++ b/tools/fake-engine.cc
@@ -1,9 +1,10 @@
-// fake-engine: a stand-in for a model engine, over its published interface:
-// streams of tokens, cancel and resume, lagging load reports, late cache
-// events with gaps, and fenced orders to load models.
+// fake-engine: a fake inference engine with the published HTTP interface: token
+// streams, cancel and resume, delayed load reports, delayed and lossy cache
+// events, and model-load requests with fencing tokens.
 //
-// A token's text is "word.seed.index": the seed is drawn when a stream starts
-// afresh, so a caller can tell that all its tokens come from one generation.
+// A token's text is "word.seed.index". The seed is drawn when a stream starts
+// without a resume, so a client can check that all its tokens come from one
+// generation.
 #include "engine-model.h"
 #include "tool-support.h"
 
@@ -18,18 +19,21 @@
 
 DEFINE_string(listen, "127.0.0.1:7100", "[network] IP:port");
 DEFINE_string(weights, "",
-              "[network] IP:port of the weight store; may be "
-              "empty");
+              "[network] IP:port of the weight store; empty to load models "
+              "without fetching weights");
 DEFINE_uint64(seed, 1, "[engine] seed of the output lengths");
 DEFINE_string(lengths, "lernwerk", "[engine] lernwerk, pwani or mixed");
-DEFINE_int32(fixed_length, 0, "[engine] tokens of every answer; 0 to draw");
-DEFINE_double(speed, 1, "[engine] steps run this many times as fast");
-DEFINE_uint64(capacity, 60000, "[engine] memory in tokens");
-DEFINE_int32(report_lag_ms, 300, "[engine] lag of the load report");
-DEFINE_int32(cache_lag_ms, 1000, "[engine] lag of the cache events");
-DEFINE_double(cache_gap, 0.05, "[engine] part of the cache events lost");
+DEFINE_int32(fixed_length, 0,
+             "[engine] output tokens of every stream; 0 to draw them from "
+             "--lengths");
+DEFINE_double(speed, 1, "[engine] factor by which steps run faster");
+DEFINE_uint64(capacity, 60000, "[engine] KV cache size in tokens");
+DEFINE_int32(report_lag_ms, 300,
+             "[engine] interval and delay of the load report");
+DEFINE_int32(cache_lag_ms, 1000, "[engine] delay of the cache events");
+DEFINE_double(cache_gap, 0.05, "[engine] fraction of the cache events dropped");
 DEFINE_bool(checks_fences, true,
-            "[engine] refuse orders with a lower fence than the last");
+            "[engine] reject model loads with a lower fence than the last");
 
 namespace {
 
@@ -43,12 +47,12 @@
     "cache_lag_ms", "cache_gap", "checks_fences"};
 constexpr base::milliseconds IdleStep{2};
 constexpr std::size_t PrefixBytes = 256;
-/// The last bytes of a prompt, by which `load` finds it again.
+/// Length of the unique marker with which `load` ends each prompt.
 constexpr std::size_t MarkerBytes = 36;
 constexpr const char *Words[] = {"so",   "take", "the",    "half", "and",
                                  "then", "we",   "divide", "by",   "three"};
 
-/// A stream as its reader sees it.
+/// The events of one stream that are queued for its HTTP connection.
 struct Stream {
   explicit Stream(asio::any_io_executor executor) : Wake(executor) {}
   std::string Id;
@@ -64,7 +68,7 @@
   }
 };
 
-/// What is remembered of a stream that was told to yield.
+/// The state kept of a yielded stream, to resume it later.
 struct YieldedStream {
   EngineJob Job;
   std::uint32_t Seed = 0;
@@ -108,11 +112,11 @@
     } else if (path == "/v1/test/started") {
       co_await x.send(jsonResponse(200, Json(StartCounts)));
     } else {
-      co_await x.send(errorResponse(404, "unknown call"));
+      co_await x.send(errorResponse(404, "unknown path"));
     }
   }
 
-  /// Runs the model in real time.
+  /// Runs the engine model in real time.
   asio::awaitable<void> runSteps() {
     for (;;) {
       const EngineStep step = Model.step();
@@ -127,7 +131,7 @@
     }
   }
 
-  /// Makes the load report anew, late.
+  /// Publishes, every --report_lag_ms, the load measured one interval earlier.
   asio::awaitable<void> refreshLoadReport() {
     for (;;) {
       Json next = currentLoad();
@@ -255,7 +259,8 @@
       const auto yielded = YieldedStreams.find(id);
       if (yielded == YieldedStreams.end() ||
           yielded->second.Job.Produced < resumeFrom) {
-        co_await x.send(errorResponse(409, "not resumable"));
+        co_await x.send(errorResponse(
+            409, "stream was not kept or has fewer tokens than resumeFrom"));
         co_return;
       }
       job = yielded->second.Job;
@@ -304,7 +309,8 @@
     const Json json = Json::parse(request.Body, nullptr, false);
     const std::uint64_t fence = json.value("fence", std::uint64_t(0));
     if (FLAGS_checks_fences && fence < LastFence) {
-      co_await x.send(errorResponse(409, "a higher fence was seen"));
+      co_await x.send(
+          errorResponse(409, "fence is lower than that of the last load"));
       co_return;
     }
     LastFence = fence;
@@ -317,8 +323,10 @@
         co_await http::fetch(value(store), std::move(fetch),
                              base::milliseconds(10'000));
       }
+    // A load with a higher fence may have been accepted during the fetch.
     if (fence < LastFence && FLAGS_checks_fences) {
-      co_await x.send(errorResponse(409, "a higher fence was seen"));
+      co_await x.send(
+          errorResponse(409, "fence is lower than that of the last load"));
       co_return;
     }
     Models = json.at("models");
@@ -362,8 +370,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  readToolFlags(argc, argv, "fake-engine: a stand-in for a model engine",
-                Flags);
+  readToolFlags(argc, argv, "fake-engine: a fake inference engine", Flags);
   asio::io_context io(1);
   Engine engine(io);
   asio::co_spawn(io, engine.runSteps(), asio::detached);
--- a/tools/fake-platform.cc
+++ b/tools/fake-platform.cc
@@ -1,7 +1,8 @@
-// fake-platform: a stand-in for the platform's store, speaking its published
-// interface: entries with revisions, conditional writes, leases, watches with a
-// bounded history; and a lagging list of VMs and a weight store. /v1/test/...
-// is for tests only: outages, slowness and lost answers.
+// fake-platform: a fake of the platform's store with the published HTTP
+// interface: entries with revisions, conditional writes, leases, and watches
+// with a bounded history. It also serves a delayed list of VMs and a weight
+// store. Tests use /v1/test/... to set the VMs, read call counts and inject
+// outages, delays and dropped responses.
 #include "platform/names.h"
 #include "platform/store.h"
 #include "tool-support.h"
@@ -12,9 +13,9 @@
 #include <map>
 
 DEFINE_string(listen, "127.0.0.1:7000", "[network] IP:port");
-DEFINE_int32(vm_lag_ms, 500, "[platform] lag of the list of VMs");
-DEFINE_int32(writes_per_second, 100, "[platform] most writes a second");
-DEFINE_int32(reads_per_second, 2000, "[platform] most reads a second");
+DEFINE_int32(vm_lag_ms, 500, "[platform] delay of the list of VMs");
+DEFINE_int32(writes_per_second, 100, "[platform] maximum writes per second");
+DEFINE_int32(reads_per_second, 2000, "[platform] maximum reads per second");
 DEFINE_int32(weights_ms, 200, "[platform] time to fetch a model's weights");
 
 namespace {
@@ -27,7 +28,7 @@
                                       "writes_per_second", "reads_per_second",
                                       "weights_ms"};
 constexpr base::milliseconds WatchPollInterval{10};
-/// Changes that watches can still be told.
+/// Number of changes kept for watches; older ones are compacted.
 constexpr std::size_t MaxHistory = 500;
 constexpr std::string_view VmPrefix = "vms/";
 namespace names = platform::names;
@@ -35,7 +36,7 @@
 struct StoredEntry {
   std::uint64_t Revision = 0;
   std::uint64_t CreateRevision = 0;
-  std::string Value; // as sent: base64
+  std::string Value; // base64, as received
   std::uint64_t Lease = 0;
 };
 
@@ -44,7 +45,7 @@
   base::milliseconds Ttl{0};
 };
 
-/// A change in the history that watches read.
+/// One change in the history that watches read.
 struct Change {
   std::uint64_t Revision = 0;
   std::string Key;
@@ -52,7 +53,8 @@
   StoredEntry Entry;
 };
 
-/// Allows so many calls in each second.
+/// Limits calls to a maximum per second of the clock, and counts all calls,
+/// rejected ones included.
 class RateLimiter {
 public:
   bool allow(int maxPerSecond) {
@@ -75,7 +77,7 @@
 struct Faults {
   bool IsDown = false;
   base::milliseconds Delay{0};
-  /// Answers to writes to lose after their effect.
+  /// Number of successful writes whose responses to drop after applying them.
   int ResponsesToDrop = 0;
 };
 
@@ -105,7 +107,7 @@
     const bool isAllowed = isWrite ? WriteLimiter.allow(FLAGS_writes_per_second)
                                    : ReadLimiter.allow(FLAGS_reads_per_second);
     if (!isAllowed) {
-      co_await x.send(errorResponse(429, "rate limit"));
+      co_await x.send(errorResponse(429, "rate limit exceeded"));
       co_return;
     }
     if (path == names::path::StoreWatch)
@@ -205,13 +207,13 @@
       return grant(request);
     if (path.starts_with(names::path::LeaseRenew) && request.Method == "POST")
       return renew(request);
-    return errorResponse(404, "unknown call");
+    return errorResponse(404, "unknown path or method");
   }
 
   http::Response read(const http::Request &request) {
     const auto it = Entries.find(std::string(request.query("tlsKey")));
     if (it == Entries.end())
-      return errorResponse(404, "no such key");
+      return errorResponse(404, "key not found");
     Json json = toJson(it->first, it->second);
     json["at"] = Revision;
     return jsonResponse(200, json);
@@ -230,7 +232,7 @@
 
   http::Response watch(const http::Request &request) {
     if (parseNumberOr(request.query("sinceRev"), 0) < CompactedRevision)
-      return errorResponse(410, "the history is gone");
+      return errorResponse(410, "history before this revision was compacted");
     Json events = Json::array();
     for (const Change *change : changesFor(request))
       events.push_back(change->IsRemoved ? Json{{"tlsKey", change->Key},
@@ -248,7 +250,7 @@
   http::Response write(const http::Request &request) {
     const Json body = Json::parse(request.Body, nullptr, false);
     if (!body.is_object())
-      return errorResponse(400, "an object is expected");
+      return errorResponse(400, "expected a JSON object");
     bool conditionsHold = true;
     Json present = Json::array();
     for (const Json &item : body.value("expectRev", Json::array())) {
@@ -262,7 +264,7 @@
     for (const Json &item : body.value("put", Json::array()))
       if (const std::uint64_t lease = item.value("lease", std::uint64_t{0});
           lease != 0 && !Leases.contains(lease))
-        return errorResponse(404, "the lease has lapsed");
+        return errorResponse(404, "lease not found or expired");
     ++Revision;
     for (const Json &item : body.value("put", Json::array()))
       put(item.at("tlsKey"), item.at("value"),
@@ -286,12 +288,13 @@
         parseNumberOr(request.path().substr(names::path::LeaseRenew.size()), 0);
     const auto it = Leases.find(id);
     if (it == Leases.end())
-      return errorResponse(404, "the lease has lapsed");
+      return errorResponse(404, "lease not found or expired");
     it->second.ExpiresAt = Clock::now() + it->second.Ttl;
     return jsonResponse(200, {{"ttl_ms", it->second.Ttl.count()}});
   }
 
-  /// Lays the list of VMs that is visible by now under its prefix.
+  /// Replaces the entries under VmPrefix when another list of VMs becomes
+  /// visible.
   void updateVmEntries() {
     const Json visible = visibleVms();
     if (visible == PublishedVms)
@@ -322,7 +325,7 @@
     if (path == "/v1/test/vms") {
       Json list = Json::parse(request.Body, nullptr, false);
       if (!list.is_array())
-        return errorResponse(400, "a list is expected");
+        return errorResponse(400, "expected a JSON array of VMs");
       VmLists.emplace(Clock::now(), std::move(list));
       return emptyResponse(200);
     }
@@ -340,7 +343,7 @@
   std::map<std::string, StoredEntry> Entries;
   std::map<std::uint64_t, Lease> Leases;
   std::deque<Change> History;
-  /// Changes up to this revision are no longer told.
+  /// Watches can no longer read changes up to this revision.
   std::uint64_t CompactedRevision = 0;
   Json PublishedVms = Json::array();
   std::multimap<Clock::time_point, Json> VmLists;
@@ -354,7 +357,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  readToolFlags(argc, argv, "fake-platform: a stand-in for the platform",
+  readToolFlags(argc, argv, "fake-platform: a fake of the platform's store",
                 Flags);
   asio::io_context io(1);
   Platform platform;
--- a/tools/fake-service.cc
+++ b/tools/fake-service.cc
@@ -1,12 +1,12 @@
-// fake-service: a stand-in for a plain service, such as saving progress. It
-// counts how often each call ran: the body's "id" names the call.
+// fake-service: a fake plain service, such as one that saves progress. It
+// counts how often each call runs, by the "id" in the request body.
 #include "tool-support.h"
 
 #include <gflags/gflags.h>
 #include <map>
 
 DEFINE_string(listen, "127.0.0.1:7200", "[network] IP:port");
-DEFINE_int32(work_ms, 5, "[service] time to run a call");
+DEFINE_int32(work_ms, 5, "[service] duration of a call");
 
 namespace {
 
@@ -45,8 +45,7 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  readToolFlags(argc, argv, "fake-service: a stand-in for a plain service",
-                Flags);
+  readToolFlags(argc, argv, "fake-service: a fake plain service", Flags);
   asio::io_context io(1);
   Service service;
   return serveUntilStopped(io, FLAGS_listen,
--- a/tools/load-checks.cc
+++ b/tools/load-checks.cc
@@ -18,7 +18,7 @@
   }
   if (index > NextIndex)
     ++Counts.IndexGaps;
-  // The text is "word.seed.index " in quotes; both must fit.
+  // The text is "word.seed.index " in quotes; seed and index must both match.
   const auto first = event.Data.find('.');
   const auto second = event.Data.find('.', first + 1);
   const std::string seed = event.Data.substr(first + 1, second - first - 1);
--- a/tools/load-checks.h
+++ b/tools/load-checks.h
@@ -1,4 +1,4 @@
-/// What `load` checks of the answers it gets, and what it counts.
+/// Response checks and counters of the load generator `load`.
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -12,23 +12,30 @@
 
 namespace drumlanding::tools {
 
-/// Counts of one run. Any of the violations makes the run fail.
+/// Counters of one run. The run fails if there is any violation or if a request
+/// is still open at its end.
 struct LoadCounts {
   std::uint64_t Requests = 0;
   std::uint64_t Complete = 0;
   std::uint64_t Tokens = 0;
   std::uint64_t Refused = 0;
   std::uint64_t Resumed = 0;
-  /// Ended with an error that says so: no violation, but no whole answer.
+  /// Ended with an explicit error: no violation, but no complete response.
   std::uint64_t Failed = 0;
-  /// No answer at all, for example since the entry was killed.
+  /// Ended with neither a complete response nor an error, for example because
+  /// the entry was killed.
   std::uint64_t Unanswered = 0;
   // Violations.
   std::uint64_t DuplicateTokens = 0;
   std::uint64_t IndexGaps = 0;
+  /// Tokens with another seed or with text for another index.
   std::uint64_t Mismatched = 0;
+  /// Responses of the plain service that belong to another call.
   std::uint64_t WrongResponses = 0;
+  /// Calls of the plain service that ran more than once.
   std::uint64_t DuplicateRuns = 0;
+  /// Generations that an engine started although the entry reported that they
+  /// did not run.
   std::uint64_t RunsAfterNotRun = 0;
 
   std::uint64_t violations() const {
@@ -37,14 +44,14 @@
   }
 };
 
-/// Checks the tokens of one generation across resumes: each once, in order,
-/// all of one seed.
+/// Checks the tokens of one generation across resumes: each index arrives
+/// once and in order, and all tokens carry the seed of the same generation.
 class StreamChecker {
 public:
   explicit StreamChecker(LoadCounts &counts) : Counts(counts) {}
   void checkToken(const http::ServerEvent &event, base::Instant now);
   std::uint32_t nextIndex() const { return NextIndex; }
-  /// Times between tokens, in milliseconds.
+  /// Returns the times between tokens, in milliseconds.
   const std::vector<double> &gapsMs() const { return GapsMs; }
 
 private:
@@ -55,10 +62,10 @@
   std::vector<double> GapsMs;
 };
 
-/// Returns the value at a part (0 to 1) of the sorted figures; 0 if none.
+/// Returns the quantile of `values` at `fraction` (0 to 1); 0 if it is empty.
 double quantile(std::vector<double> values, double fraction);
 
-/// Returns a UUID of version 7 for this moment.
+/// Returns a version 7 UUID with the timestamp `now`.
 std::string makeUuid7(base::WallTime now);
 
 } // namespace drumlanding::tools
--- a/tools/load.cc
+++ b/tools/load.cc
@@ -1,4 +1,5 @@
-// load: callers of both deployments that check every answer they get.
+// load: load generator that acts as the callers of both deployments and checks
+// every response.
 #include "drumlanding/base/hash.h"
 #include "load-checks.h"
 #include "tool-support.h"
@@ -14,24 +15,29 @@
 DEFINE_string(entries, "127.0.0.1:8080",
               "[target] IP:port of the entries, separated by commas");
 DEFINE_string(credentials, "", "[target] credentials, separated by commas");
-DEFINE_string(model, "", "[target] model to ask; empty for none");
+DEFINE_string(model, "", "[target] model to generate with; empty for none");
 DEFINE_string(service, "", "[target] plain service to call; empty for none");
 DEFINE_string(engines, "",
-              "[check] IP:port of the stand-in engines, to check refusals");
+              "[check] IP:port of the fake engines, to check that refused "
+              "generations did not run");
 DEFINE_string(services, "",
-              "[check] IP:port of the stand-in services, to check runs");
-DEFINE_double(rate, 20, "[load] new requests a second");
+              "[check] IP:port of the fake services, to check that no call ran "
+              "twice");
+DEFINE_double(rate, 20, "[load] new requests per second");
 DEFINE_int32(streams, 0,
-             "[load] streams kept open at a time; 0 to go by --rate");
+             "[load] number of requests kept open; 0 to send at --rate");
 DEFINE_double(seconds, 5, "[load] seconds to send requests");
-DEFINE_double(drain_seconds, 30, "[load] seconds to wait for the rest");
-DEFINE_uint32(max_tokens, 400, "[load] most tokens an answer");
-DEFINE_double(call_part, 0.2, "[load] part of the requests that are calls");
+DEFINE_double(drain_seconds, 30, "[load] seconds to wait for open requests");
+DEFINE_uint32(max_tokens, 400, "[load] maximum tokens per generation");
+DEFINE_double(call_part, 0.2,
+              "[load] fraction of the requests that call --service");
 DEFINE_double(drop_part, 0.1,
-              "[load] part of the streams dropped and resumed elsewhere");
+              "[load] fraction of the streams to drop and resume through any "
+              "entry");
 DEFINE_double(repeat_part, 0.3,
-              "[load] part of the calls sent twice, through two entries");
-DEFINE_uint64(seed, 1, "[load] seed of the choices");
+              "[load] fraction of the calls to send twice with one idempotency "
+              "key");
+DEFINE_uint64(seed, 1, "[load] seed of the random choices");
 DEFINE_bool(progress, true, "[output] show a progress line");
 
 namespace {
@@ -175,7 +181,7 @@
   }
 
   std::string makePrompt(const std::string &marker) {
-    // A few shared beginnings, so that prefixes matter.
+    // Only 20 topics, so that prompts share prefixes.
     const std::string topic = std::to_string(Random.below(20));
     std::string prompt = "You help pupils with exercise " + topic + ". ";
     prompt += std::string(300 + Random.below(900), 'x');
@@ -217,7 +223,8 @@
       co_return result;
     const std::string reason = reasonOf(end.Body);
     ++ErrorReasons[reason];
-    // An entry that just started does not know the agents yet.
+    // A restarted entry rejects resumes until it has discovered the agents, so
+    // the resume is tried again.
     const bool isEarly = marker.empty() && reason == "not-ready";
     if (isEarly ||
         (marker.empty() && reason == "not-found" && checker.nextIndex() == 0))
@@ -243,7 +250,7 @@
     return errorField(body, "verdict");
   }
 
-  // Calls of the plain service that may not be repeated.
+  // Calls of the plain service, each of which may run only once.
 
   asio::awaitable<void> callService() {
     const std::string id = base::randomId();
@@ -282,13 +289,14 @@
       co_return;
     if (verdictOf(response.Body) == "not-run") {
       ++Counts.Refused;
-      // Its repeat may have run it all the same.
+      // Not counted as a violation if it ran: its repeat may have run it.
       co_return;
     }
     ++Counts.Failed;
   }
 
-  /// Asks the stand-ins what really ran.
+  /// Reads from the fakes which generations and calls ran, and counts
+  /// violations.
   asio::awaitable<void> checkRuns() {
     for (const base::Endpoint &engine : Engines) {
       const Json started = co_await fetchJson(engine, "/v1/test/started");
@@ -320,7 +328,7 @@
   }
 
   void showProgress(bool isLast) {
-    // On a terminal the line is rewritten; in a log only the last one is kept.
+    // Rewrite the line on a terminal; print only the last one elsewhere.
     if (!FLAGS_progress || (!isLast && !isatty(STDERR_FILENO)))
       return;
     if ((!isLast && Time.now().Steady < NextProgress))
@@ -379,10 +387,11 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  readToolFlags(argc, argv, "load: callers that check their answers", Flags);
+  readToolFlags(argc, argv, "load: sends requests and checks every response",
+                Flags);
   if (FLAGS_credentials.empty())
     base::exitOnBadSettings(
-        base::invalid("--credentials", "at least one is needed"));
+        base::invalid("--credentials", "at least one credential is required"));
   asio::io_context io(1);
   LoadGenerator load(io);
   asio::co_spawn(io, load.run(), asio::detached);
--- a/tools/policy-bench.cc
+++ b/tools/policy-bench.cc
@@ -1,5 +1,6 @@
-// policy-bench: measures the decisions on a virtual clock, against baselines
-// in the same run. Ends with one line of ratios, own policy to greedy.
+// policy-bench: compares the scheduling and routing policy with baselines on a
+// virtual clock. Prints one line of ratios, own policy to greedy, for each
+// combination of lengths, load and seed.
 #include "policy-simulation.h"
 
 #include "drumlanding/base/settings.h"
@@ -13,22 +14,25 @@
 DEFINE_string(policy, "all",
               "[what] own, greedy, reserve, oracle, random-route, "
               "least-loaded, or all");
-DEFINE_string(load, "1.0", "[what] loads, separated by commas");
+DEFINE_string(
+    load, "1.0",
+    "[what] loads, as multiples of the saturated throughput, separated "
+    "by commas");
 DEFINE_string(seed, "1", "[what] seeds, separated by commas");
 DEFINE_string(lengths, "lernwerk",
               "[what] lernwerk, pwani, mixed, drift, or a file with one "
-              "output length a line; several separated by commas");
+              "output length per line; several separated by commas");
 DEFINE_int32(engines, 1, "[what] number of engines, 1 to 64");
-DEFINE_int32(report_lag, 500, "[what] lag of the reports, milliseconds");
+DEFINE_int32(report_lag, 500, "[what] delay of the load reports, milliseconds");
 DEFINE_string(fault, "none",
               "[what] none, engine-reclaimed, report-stalled, kv-outage");
-DEFINE_int32(time, 600, "[what] virtual seconds");
+DEFINE_int32(time, 600, "[what] virtual duration in seconds");
 DEFINE_double(burst, 1,
-              "[what] one organisation sends this many times its "
-              "part in the second half");
+              "[what] factor on the request rate of the first "
+              "organisation in the second half");
 DEFINE_int32(only_organisation, -1,
-             "[what] give the figures of this organisation; -1 all, -2 all "
-             "but the first, which bursts");
+             "[what] index of the only organisation to measure; -1 for all, "
+             "-2 for all except the first, which --burst applies to");
 DEFINE_double(stall_weight, 1, "[contract] weight of stalls");
 DEFINE_double(gap_weight, 1, "[contract] weight of gaps");
 DEFINE_double(risk, -1, "[policy] risk factor; -1 for the default");
@@ -36,14 +40,14 @@
               "[policy] risk added by a yield; -1 for "
               "the default");
 DEFINE_double(overdrawn, -1,
-              "[policy] memory for organisations above their "
-              "share; -1 for the default");
+              "[policy] fraction of the capacity for organisations above "
+              "their share; -1 for the default");
 DEFINE_int32(horizon, -1,
-             "[policy] longest horizon in tokens; -1 for the "
+             "[policy] maximum horizon in tokens; -1 for the "
              "default");
 DEFINE_int32(step_target, -1,
              "[policy] step target in milliseconds; -1 for the default");
-DEFINE_string(csv, "", "[output] file to write");
+DEFINE_string(csv, "", "[output] CSV file to write; empty for none");
 DEFINE_bool(ratios_only, false, "[output] print only the lines of ratios");
 
 namespace {
@@ -89,14 +93,17 @@
     o.FileLengths.push_back(std::max(length, 1U));
   if (o.FileLengths.empty())
     base::exitOnBadSettings(base::invalid(
-        "--lengths", "'" + name + "' is no shape and no file of lengths"));
+        "--lengths", "expected lernwerk, pwani, mixed, drift or a file with "
+                     "one length per line, got '" +
+                         name + "'"));
 }
 
 PolicyOptions makeOptions(const std::string &lengths) {
   PolicyOptions o;
   setLengths(o, lengths);
   if (FLAGS_engines < 1 || FLAGS_engines > 64)
-    base::exitOnBadSettings(base::invalid("--engines", "must be from 1 to 64"));
+    base::exitOnBadSettings(
+        base::invalid("--engines", "must be between 1 and 64"));
   o.EngineCount = FLAGS_engines;
   o.ReportLag = base::milliseconds(FLAGS_report_lag);
   o.ArrivalTime = base::seconds(FLAGS_time);
@@ -122,12 +129,12 @@
   const auto it = faults.find(FLAGS_fault);
   if (it == faults.end())
     base::exitOnBadSettings(base::invalid(
-        "--fault", "'" + FLAGS_fault + "' is not known; see --help"));
+        "--fault", "unknown fault '" + FLAGS_fault + "'; see --help"));
   o.Fault = it->second;
   return o;
 }
 
-/// The results of all policies under one load, seed and shape.
+/// The runs and results of all policies for one load, seed and length source.
 struct BenchCase {
   std::string Lengths;
   double Load = 0;
@@ -183,7 +190,7 @@
     if (FLAGS_policy == toString(kind))
       return {kind};
   base::exitOnBadSettings(base::invalid(
-      "--policy", "'" + FLAGS_policy + "' is not known; see --help"));
+      "--policy", "unknown policy '" + FLAGS_policy + "'; see --help"));
 }
 
 std::vector<BenchCase> makeBenchCases() {
@@ -204,8 +211,7 @@
 
 int main(int argc, char **argv) {
   const auto read = base::readSettings(
-      argc, argv, "policy-bench: measures the decisions on a virtual clock",
-      Flags);
+      argc, argv, "policy-bench: compares policies on a virtual clock", Flags);
   if (!ok(read))
     base::exitOnBadSettings(error(read));
   std::vector<BenchCase> cases = makeBenchCases();
--- a/tools/policy-simulation.cc
+++ b/tools/policy-simulation.cc
@@ -20,7 +20,7 @@
 constexpr double LargeOrganisationShare = 4;
 constexpr Duration ReclaimDuration = 30s;
 constexpr Duration ReportStallTime = 60s;
-/// Admissions are counted over this time to predict a wait.
+/// Window over which admissions are counted to predict a wait.
 constexpr Duration AdmissionRateWindow = 20s;
 
 double toSeconds(Duration d) {
@@ -32,7 +32,7 @@
   return Duration(static_cast<std::int64_t>(s * 1e9));
 }
 
-/// Counts times in buckets that are 1% wide.
+/// Histogram of durations with buckets that are 1% wide.
 class TimeHistogram {
 public:
   void add(Duration d) {
@@ -64,19 +64,19 @@
   std::uint64_t Total = 0;
 };
 
-/// One request from its arrival to its end.
+/// One request, from its arrival until it completes or is refused.
 struct Request {
   int Organisation = 0;
   EngineJob Job;
   Instant Arrived{};
   Instant LastToken{};
-  /// Off the engine since its last token.
+  /// Whether it was yielded or preempted since its last token.
   bool WasInterrupted = false;
   bool IsMeasured = false;
   std::size_t Engine = 0;
 };
 
-/// An engine, its agent's scheduler, and its last report.
+/// An engine, its agent's scheduler, and the router's view of it.
 struct SimulatedServer {
   std::unique_ptr<agent::Scheduler> Scheduler;
   std::unique_ptr<EngineModel> Engine;
@@ -173,7 +173,7 @@
     return w;
   }
 
-  // What arrives.
+  // Arrivals.
 
   RequestSizes drawSizes(base::Random &random) const {
     switch (Options.Lengths) {
@@ -229,7 +229,8 @@
   }
 
   void addArrival() {
-    // The extra requests of a burst come on top of everybody's usual ones.
+    // The burst adds requests and leaves the other organisations' rates as they
+    // are.
     double rateFactor = 1;
     if (Options.BurstFactor > 1 && isSecondHalf()) {
       const double normalWeight =
@@ -267,7 +268,8 @@
   }
 
   bool isMeasuredNow(int organisation) const {
-    // A drift or a burst is what such a run is about.
+    // Drift and burst set in at the middle of the run, so only the second half
+    // is measured.
     const bool isSecondHalfOnly = Options.Lengths == LengthSource::Drift ||
                                   Options.BurstFactor > 1 ||
                                   Options.MeasuredOrganisation != -1;
@@ -346,10 +348,11 @@
       markInterrupted(r);
       w.Scheduler->recordYielded(Now, id);
     }
-    // Room that a yield has made is used in the same step.
-    const agent::Decisions more =
+    // Decide again, to use the capacity that the yields released in the same
+    // step.
+    const agent::Decisions afterYields =
         decisions.Yield.empty() ? agent::Decisions() : w.Scheduler->decide(Now);
-    for (const auto *starts : {&decisions.Start, &more.Start})
+    for (const auto *starts : {&decisions.Start, &afterYields.Start})
       for (JobId id : *starts)
         w.Engine->submit(Requests.at(id).Job);
     w.Step = w.Engine->step();
@@ -424,7 +427,8 @@
         w.Reports.push_back({Now + Options.ReportLag, view});
       }
       while (!w.Reports.empty() && w.Reports.front().VisibleAt <= Now) {
-        // What was sent since the report was made is not in it.
+        // The report lacks requests sent after it was made; about half of those
+        // counted so far are assumed to be later.
         const std::uint32_t recent =
             Options.ReportLag.count() == 0 ? 0 : w.View.SentSinceReport / 2;
         w.View = w.Reports.front().View;
@@ -467,7 +471,7 @@
     Result.PreemptionsPerThousand =
         1'000 * static_cast<double>(Preemptions) / requests;
     Result.StallMsPerRequest = toMs(Stall) / requests;
-    // A request that is still off has stalled until now.
+    // Count the stall of each request that is still interrupted up to now.
     for (const auto &[id, r] : Requests)
       if (r.IsMeasured && r.WasInterrupted && r.LastToken > Start)
         MaxStall = std::max(MaxStall, Now - r.LastToken);
@@ -518,7 +522,7 @@
   o.Policy = PolicyKind::Greedy;
   o.EngineCount = 1;
   o.Load = 1;
-  // Above what any of the shapes lets an engine produce.
+  // More tokens per second than an engine reaches with any length source.
   o.SaturationTokensPerSecond = 3'000;
   o.Seed = 4711;
   o.Fault = PolicyFault::None;
--- a/tools/tool-support.h
+++ b/tools/tool-support.h
@@ -1,4 +1,5 @@
-/// What the stand-ins share: flags, one thread, and JSON answers.
+/// Shared by the fake servers and `load`: flags, a single-threaded HTTP server,
+/// and JSON responses.
 #pragma once
 
 #include "drumlanding/base/settings.h"
@@ -36,6 +37,8 @@
   return jsonResponse(status, {{"error", message}});
 }
 
+/// Parses a decimal number; returns `fallback` if `text` does not start with
+/// one.
 inline std::uint64_t parseNumberOr(std::string_view text,
                                    std::uint64_t fallback) {
   std::uint64_t n = fallback;
@@ -43,7 +46,7 @@
   return n;
 }
 
-/// Reads a stand-in's flags or exits with 2.
+/// Reads the flags of a program; exits with status 2 if they are invalid.
 inline void readToolFlags(int argc, char **argv, std::string_view synopsis,
                           std::span<const std::string_view> flags) {
   if (sodium_init() < 0)
@@ -53,7 +56,8 @@
     base::exitOnBadSettings(error(settings));
 }
 
-/// Serves until SIGTERM on one thread.
+/// Serves on the calling thread until SIGTERM or SIGINT, then exits the
+/// process.
 inline int serveUntilStopped(asio::io_context &io, std::string_view listen,
                              http::Handler handler) {
   const auto endpoint = base::parseEndpoint("--listen", listen);
