--- a/test/scheduler-test.cc
+++ b/test/scheduler-test.cc
@@ -181,7 +181,7 @@
     o.Lengths = lengths;
     o.Load = 1.4;
     o.SaturationTokensPerSecond = 1'300;
-    o.ArrivalTime = base::seconds(300);
+    o.SimulatedTime = base::seconds(300);
     const auto own = tools::simulatePolicy(o);
     o.Policy = tools::PolicyKind::Greedy;
     const auto greedy = tools::simulatePolicy(o);
@@ -197,7 +197,7 @@
   o.Lengths = tools::LengthSource::Pwani;
   o.Load = 1.2;
   o.SaturationTokensPerSecond = 1'200;
-  o.ArrivalTime = base::seconds(300);
+  o.SimulatedTime = base::seconds(300);
   const auto plain = tools::simulatePolicy(o);
   o.StallWeight = 4;
   const auto careful = tools::simulatePolicy(o);
--- a/tools/policy-bench.cc
+++ b/tools/policy-bench.cc
@@ -106,7 +106,7 @@
         base::invalid("--engines", "must be between 1 and 64"));
   o.EngineCount = FLAGS_engines;
   o.ReportLag = base::milliseconds(FLAGS_report_lag);
-  o.ArrivalTime = base::seconds(FLAGS_time);
+  o.SimulatedTime = base::seconds(FLAGS_time);
   o.BurstFactor = FLAGS_burst;
   o.MeasuredOrganisation = FLAGS_only_organisation;
   o.StallWeight = FLAGS_stall_weight;
--- a/tools/policy-simulation.cc
+++ b/tools/policy-simulation.cc
@@ -110,7 +110,7 @@
   }
 
   PolicyResult run() {
-    const Instant end = Start + Options.ArrivalTime;
+    const Instant end = Start + Options.SimulatedTime;
     NextArrival = Start + drawInterarrivalTime();
     NextReport = Start;
     while (true) {
@@ -209,7 +209,7 @@
     return fromSeconds(-std::log(1 - Random.unit()) / rate);
   }
 
-  bool isSecondHalf() const { return Now - Start > Options.ArrivalTime / 2; }
+  bool isSecondHalf() const { return Now - Start > Options.SimulatedTime / 2; }
 
   int drawOrganisation() {
     double total = 0;
@@ -416,7 +416,7 @@
       const bool isStalled =
           Options.Fault == PolicyFault::ReportStalled && i == 0 &&
           isSecondHalf() &&
-          Now - Start < Options.ArrivalTime / 2 + ReportStallTime;
+          Now - Start < Options.SimulatedTime / 2 + ReportStallTime;
       if (!isStalled && !w.IsReclaimed) {
         const agent::SchedulerLoad load = w.Scheduler->load();
         entry::ServerView view = w.View;
@@ -443,7 +443,7 @@
     if (Options.Fault != PolicyFault::EngineReclaimed || Servers.size() < 2)
       return;
     SimulatedServer &w = Servers[0];
-    const Duration since = Now - Start - Options.ArrivalTime / 2;
+    const Duration since = Now - Start - Options.SimulatedTime / 2;
     if (!w.IsReclaimed && since.count() > 0 && since < ReclaimDuration) {
       w = makeServer(0);
       w.IsReclaimed = true;
@@ -466,8 +466,8 @@
                                   Options.BurstFactor > 1 ||
                                   Options.MeasuredOrganisation != -1;
     const Duration measured = isSecondHalfOnly
-                                  ? Duration(Options.ArrivalTime) / 2
-                                  : Options.ArrivalTime - Options.WarmUp;
+                                  ? Duration(Options.SimulatedTime) / 2
+                                  : Options.SimulatedTime - Options.WarmUp;
     Result.PreemptionsPerThousand =
         1'000 * static_cast<double>(Preemptions) / requests;
     Result.StallMsPerRequest = toMs(Stall) / requests;
@@ -528,7 +528,7 @@
   o.Fault = PolicyFault::None;
   o.BurstFactor = 1;
   o.MeasuredOrganisation = -1;
-  o.ArrivalTime = base::seconds(1'000);
+  o.SimulatedTime = base::seconds(1'000);
   o.WarmUp = base::seconds(100);
   if (o.Lengths == LengthSource::Drift)
     o.Lengths = LengthSource::Lernwerk;
--- a/tools/policy-simulation.h
+++ b/tools/policy-simulation.h
@@ -45,7 +45,7 @@
   base::milliseconds ReportLag{500};
   PolicyFault Fault = PolicyFault::None;
   /// Virtual duration of the run, and its beginning that is not measured.
-  base::seconds ArrivalTime{600};
+  base::seconds SimulatedTime{600};
   base::seconds WarmUp{60};
   int OrganisationCount = 10;
   /// The first organisation multiplies its request rate by this in the second
