--- a/tools/policy-simulation.cc
+++ b/tools/policy-simulation.cc
@@ -145,7 +145,7 @@
   }
 
   SimulatedServer makeServer(int i) {
-    SimulatedServer w;
+    SimulatedServer server;
     agent::SchedulerOptions o = Options.Scheduling;
     o.CapacityTokens = Options.Engine.CapacityTokens;
     if (Options.Policy == PolicyKind::Greedy)
@@ -165,12 +165,12 @@
         return view.Produced + more < r.Job.OutputTokens ? 1.0 : 0.0;
       };
     }
-    w.Scheduler = std::make_unique<agent::Scheduler>(std::move(o));
-    w.Engine = std::make_unique<EngineModel>(Options.Engine);
-    w.View.NameHash = base::mix64(static_cast<std::uint64_t>(i), 99);
-    w.View.CapacityTokens = Options.Engine.CapacityTokens;
-    w.View.ReportedAt = Start;
-    return w;
+    server.Scheduler = std::make_unique<agent::Scheduler>(std::move(o));
+    server.Engine = std::make_unique<EngineModel>(Options.Engine);
+    server.View.NameHash = base::mix64(static_cast<std::uint64_t>(i), 99);
+    server.View.CapacityTokens = Options.Engine.CapacityTokens;
+    server.View.ReportedAt = Start;
+    return server;
   }
 
   // Arrivals.
@@ -268,8 +268,8 @@
   }
 
   bool isMeasuredNow(int organisation) const {
-    // Drift and burst set in at the middle of the run, so only the second half
-    // is measured.
+    // Drift and burst set in at the middle of the run. Runs with either, and
+    // runs for a subset of the organisations, measure only the second half.
     const bool isSecondHalfOnly = Options.Lengths == LengthSource::Drift ||
                                   Options.BurstFactor > 1 ||
                                   Options.MeasuredOrganisation != -1;
@@ -283,8 +283,8 @@
 
   void route(JobId id, Request &r) {
     std::vector<entry::ServerView> views;
-    for (const SimulatedServer &w : Servers)
-      views.push_back(w.View);
+    for (const SimulatedServer &server : Servers)
+      views.push_back(server.View);
     const entry::RouteQuery query{
         Options.Policy == PolicyKind::Greedy ? 0 : r.Job.PrefixHash,
         static_cast<double>(r.Job.PromptTokens) + MeanOutputTokens};
@@ -294,8 +294,8 @@
       return;
     }
     r.Engine = *chosen;
-    SimulatedServer &w = Servers[*chosen];
-    ++w.View.SentSinceReport;
+    SimulatedServer &server = Servers[*chosen];
+    ++server.View.SentSinceReport;
     agent::JobSpec spec;
     spec.Organisation = "o" + std::to_string(r.Organisation);
     spec.Class = agent::lengthClass(spec.Organisation, "model");
@@ -305,28 +305,28 @@
     spec.PromptTokens = r.Job.PromptTokens;
     spec.MaxTokens = MaxOutputTokens;
     spec.MaxQueueWait = Options.MaxQueueWait;
-    if (predictedWait(w, spec) > Options.MaxQueueWait) {
+    if (predictedWait(server, spec) > Options.MaxQueueWait) {
       refuse(id, r);
       return;
     }
-    w.Scheduler->add(Now, id, spec);
-    if (!w.IsStepping)
+    server.Scheduler->add(Now, id, spec);
+    if (!server.IsStepping)
       beginStep(*chosen);
   }
 
-  base::milliseconds predictedWait(SimulatedServer &w,
+  base::milliseconds predictedWait(SimulatedServer &server,
                                    const agent::JobSpec &spec) {
     if (Options.Policy != PolicyKind::Greedy)
-      return w.Scheduler->predictedWait(spec);
-    while (!w.Admissions.empty() &&
-           Now - w.Admissions.front() > AdmissionRateWindow)
-      w.Admissions.pop_front();
+      return server.Scheduler->predictedWait(spec);
+    while (!server.Admissions.empty() &&
+           Now - server.Admissions.front() > AdmissionRateWindow)
+      server.Admissions.pop_front();
     const double rate =
-        std::max<double>(static_cast<double>(w.Admissions.size()) /
+        std::max<double>(static_cast<double>(server.Admissions.size()) /
                              toSeconds(AdmissionRateWindow),
                          0.1);
     return base::milliseconds(static_cast<std::int64_t>(
-        1'000 * static_cast<double>(w.Engine->queued()) / rate));
+        1'000 * static_cast<double>(server.Engine->queued()) / rate));
   }
 
   void refuse(JobId id, const Request &r) {
@@ -338,28 +338,29 @@
   // Engines.
 
   void beginStep(std::size_t i) {
-    SimulatedServer &w = Servers[i];
-    if (w.IsReclaimed)
+    SimulatedServer &server = Servers[i];
+    if (server.IsReclaimed)
       return;
-    const agent::Decisions decisions = w.Scheduler->decide(Now);
+    const agent::Decisions decisions = server.Scheduler->decide(Now);
     for (JobId id : decisions.Yield) {
       Request &r = Requests.at(id);
-      r.Job = w.Engine->stop(id);
+      r.Job = server.Engine->stop(id);
       markInterrupted(r);
-      w.Scheduler->recordYielded(Now, id);
+      server.Scheduler->recordYielded(Now, id);
     }
     // Decide again, to use the capacity that the yields released in the same
     // step.
-    const agent::Decisions afterYields =
-        decisions.Yield.empty() ? agent::Decisions() : w.Scheduler->decide(Now);
+    const agent::Decisions afterYields = decisions.Yield.empty()
+                                             ? agent::Decisions()
+                                             : server.Scheduler->decide(Now);
     for (const auto *starts : {&decisions.Start, &afterYields.Start})
       for (JobId id : *starts)
-        w.Engine->submit(Requests.at(id).Job);
-    w.Step = w.Engine->step();
-    for (JobId id : w.Step.Preempted)
+        server.Engine->submit(Requests.at(id).Job);
+    server.Step = server.Engine->step();
+    for (JobId id : server.Step.Preempted)
       markInterrupted(Requests.at(id));
-    w.IsStepping = w.Step.Elapsed.count() > 0;
-    w.StepEnds = Now + w.Step.Elapsed;
+    server.IsStepping = server.Step.Elapsed.count() > 0;
+    server.StepEnds = Now + server.Step.Elapsed;
   }
 
   void markInterrupted(Request &r) {
@@ -369,26 +370,27 @@
   }
 
   void endStep(std::size_t i) {
-    SimulatedServer &w = Servers[i];
-    w.IsStepping = false;
-    w.Scheduler->recordStep(w.Step.Elapsed, w.Step.PrefillTokens);
-    for (const EngineToken &token : w.Step.Tokens)
-      deliver(w, token);
+    SimulatedServer &server = Servers[i];
+    server.IsStepping = false;
+    server.Scheduler->recordStep(server.Step.Elapsed,
+                                 server.Step.PrefillTokens);
+    for (const EngineToken &token : server.Step.Tokens)
+      deliver(server, token);
     beginStep(i);
   }
 
-  void deliver(SimulatedServer &w, const EngineToken &token) {
+  void deliver(SimulatedServer &server, const EngineToken &token) {
     const auto it = Requests.find(token.Id);
     if (it == Requests.end())
       return;
     Request &r = it->second;
-    w.Scheduler->recordTokens(Now, token.Id, 1);
+    server.Scheduler->recordTokens(Now, token.Id, 1);
     if (isMeasuredNow(r.Organisation))
       ++Tokens;
     if (Now - Start > Options.WarmUp)
       OrganisationTokens[r.Organisation] += 1 / shareOf(r.Organisation);
     if (token.Index == 0)
-      w.Admissions.push_back(Now);
+      server.Admissions.push_back(Now);
     if (r.IsMeasured && token.Index == 0)
       FirstTokens.add(Now - r.Arrived);
     if (r.IsMeasured && token.Index > 0) {
@@ -403,7 +405,7 @@
     r.LastToken = Now;
     if (!token.IsLast)
       return;
-    w.Scheduler->remove(Now, token.Id, true);
+    server.Scheduler->remove(Now, token.Id, true);
     Requests.erase(it);
   }
 
@@ -412,42 +414,44 @@
   void report() {
     NextReport = Now + ReportInterval;
     for (std::size_t i = 0; i < Servers.size(); ++i) {
-      SimulatedServer &w = Servers[i];
+      SimulatedServer &server = Servers[i];
       const bool isStalled =
           Options.Fault == PolicyFault::ReportStalled && i == 0 &&
           isSecondHalf() &&
           Now - Start < Options.SimulatedTime / 2 + ReportStallTime;
-      if (!isStalled && !w.IsReclaimed) {
-        const agent::SchedulerLoad load = w.Scheduler->load();
-        entry::ServerView view = w.View;
+      if (!isStalled && !server.IsReclaimed) {
+        const agent::SchedulerLoad load = server.Scheduler->load();
+        entry::ServerView view = server.View;
         view.UsedTokens = load.UsedTokens;
         view.Waiting = load.Waiting;
         view.ReportedAt = Now;
         view.IsUsable = true;
-        w.Reports.push_back({Now + Options.ReportLag, view});
+        server.Reports.push_back({Now + Options.ReportLag, view});
       }
-      while (!w.Reports.empty() && w.Reports.front().VisibleAt <= Now) {
+      while (!server.Reports.empty() &&
+             server.Reports.front().VisibleAt <= Now) {
         // The report lacks requests sent after it was made; about half of those
         // counted so far are assumed to be later.
-        const std::uint32_t recent =
-            Options.ReportLag.count() == 0 ? 0 : w.View.SentSinceReport / 2;
-        w.View = w.Reports.front().View;
-        w.View.SentSinceReport = recent;
-        w.Reports.pop_front();
+        const std::uint32_t recent = Options.ReportLag.count() == 0
+                                         ? 0
+                                         : server.View.SentSinceReport / 2;
+        server.View = server.Reports.front().View;
+        server.View.SentSinceReport = recent;
+        server.Reports.pop_front();
       }
-      w.View.IsUsable = !w.IsReclaimed;
+      server.View.IsUsable = !server.IsReclaimed;
     }
   }
 
   void injectFault() {
     if (Options.Fault != PolicyFault::EngineReclaimed || Servers.size() < 2)
       return;
-    SimulatedServer &w = Servers[0];
+    SimulatedServer &server = Servers[0];
     const Duration since = Now - Start - Options.SimulatedTime / 2;
-    if (!w.IsReclaimed && since.count() > 0 && since < ReclaimDuration) {
-      w = makeServer(0);
-      w.IsReclaimed = true;
-      w.View.IsUsable = false;
+    if (!server.IsReclaimed && since.count() > 0 && since < ReclaimDuration) {
+      server = makeServer(0);
+      server.IsReclaimed = true;
+      server.View.IsUsable = false;
       std::erase_if(Requests, [&](const auto &entry) {
         if (entry.second.Engine != 0)
           return false;
@@ -455,8 +459,8 @@
         return true;
       });
     }
-    if (w.IsReclaimed && since >= ReclaimDuration)
-      w.IsReclaimed = false;
+    if (server.IsReclaimed && since >= ReclaimDuration)
+      server.IsReclaimed = false;
   }
 
   PolicyResult result() {
