--- a/tools/fake-platform.cc
+++ b/tools/fake-platform.cc
@@ -1,10 +1,11 @@
-// fake-platform: a stand-in for the platform's store, speaking its published
-// interface: entries with revisions, conditional writes, leases, watches with a
-// bounded history; and a lagging list of VMs and a weight store. /v1/test/...
-// is for tests only: outages, slowness and lost answers.
+// fake-platform: a fake of the platform's store with the published HTTP
+// interface: entries with revisions, conditional writes, leases, and watches
+// with a bounded history. It also serves a delayed list of VMs and a weight
+// store. Tests use /v1/test/... to set the VMs, read call counts and inject
+// outages, delays and dropped responses.
 #include "platform/names.h"
 #include "platform/store.h"
-#include "stand-in.h"
+#include "tool-support.h"
 
 #include <chrono>
 #include <deque>
@@ -12,9 +13,9 @@
 #include <map>
 
 DEFINE_string(listen, "127.0.0.1:7000", "[network] IP:port");
-DEFINE_int32(vm_lag_ms, 500, "[platform] lag of the list of VMs");
-DEFINE_int32(writes_per_second, 100, "[platform] most writes a second");
-DEFINE_int32(reads_per_second, 2000, "[platform] most reads a second");
+DEFINE_int32(vm_lag_ms, 500, "[platform] delay of the list of VMs");
+DEFINE_int32(writes_per_second, 100, "[platform] maximum writes per second");
+DEFINE_int32(reads_per_second, 2000, "[platform] maximum reads per second");
 DEFINE_int32(weights_ms, 200, "[platform] time to fetch a model's weights");
 
 namespace {
@@ -26,25 +27,25 @@
 constexpr std::string_view Flags[] = {"listen", "vm_lag_ms",
                                       "writes_per_second", "reads_per_second",
                                       "weights_ms"};
-constexpr base::milliseconds WatchStep{10};
-/// Changes that watches can still be told.
-constexpr std::size_t MostHistory = 500;
+constexpr base::milliseconds WatchPollInterval{10};
+/// Number of changes kept for watches; older ones are compacted.
+constexpr std::size_t MaxHistory = 500;
 constexpr std::string_view VmPrefix = "vms/";
 namespace names = platform::names;
 
 struct StoredEntry {
   std::uint64_t Revision = 0;
-  std::uint64_t Made = 0;
-  std::string Value; // as sent: base64
+  std::uint64_t CreateRevision = 0;
+  std::string Value; // base64, as received
   std::uint64_t Lease = 0;
 };
 
 struct Lease {
-  Clock::time_point Until;
-  base::milliseconds Time{0};
+  Clock::time_point ExpiresAt;
+  base::milliseconds Ttl{0};
 };
 
-/// A change in the history that watches read.
+/// One change in the history that watches read.
 struct Change {
   std::uint64_t Revision = 0;
   std::string Key;
@@ -52,31 +53,32 @@
   StoredEntry Entry;
 };
 
-/// Allows so many calls in each second.
-class RateLimit {
+/// Limits calls to a maximum per second of the clock, and counts all calls,
+/// rejected ones included.
+class RateLimiter {
 public:
-  bool take(int most) {
+  bool allow(int maxPerSecond) {
     const auto now = std::chrono::time_point_cast<base::seconds>(Clock::now());
-    if (now != Second) {
-      Second = now;
-      Used = 0;
+    if (now != CurrentSecond) {
+      CurrentSecond = now;
+      UsedInSecond = 0;
     }
     ++Total;
-    return ++Used <= most;
+    return ++UsedInSecond <= maxPerSecond;
   }
   std::uint64_t total() const { return Total; }
 
 private:
-  std::chrono::time_point<Clock, base::seconds> Second{};
-  int Used = 0;
+  std::chrono::time_point<Clock, base::seconds> CurrentSecond{};
+  int UsedInSecond = 0;
   std::uint64_t Total = 0;
 };
 
 struct Faults {
   bool IsDown = false;
   base::milliseconds Delay{0};
-  /// Answers to writes to lose after their effect.
-  int LoseAnswers = 0;
+  /// Number of successful writes whose responses to drop after applying them.
+  int ResponsesToDrop = 0;
 };
 
 class Platform {
@@ -84,17 +86,17 @@
   asio::awaitable<void> handle(http::Request request, http::Exchange &x) {
     const std::string path(request.path());
     if (path.starts_with("/v1/test/")) {
-      co_await x.send(test(request));
+      co_await x.send(handleTestRequest(request));
       co_return;
     }
-    if (TheFaults.Delay.count() > 0)
-      co_await sleepFor(TheFaults.Delay);
-    if (TheFaults.IsDown) {
+    if (InjectedFaults.Delay.count() > 0)
+      co_await sleepFor(InjectedFaults.Delay);
+    if (InjectedFaults.IsDown) {
       co_await x.send(errorResponse(503, "outage"));
       co_return;
     }
     expireLeases();
-    listVms();
+    updateVmEntries();
     if (path.starts_with("/v1/weights/")) {
       co_await sleepFor(base::milliseconds(FLAGS_weights_ms));
       co_await x.send(emptyResponse(200));
@@ -102,17 +104,18 @@
     }
     const bool isRenewal = path.starts_with(names::path::LeaseRenew);
     const bool isWrite = request.Method != "GET" && !isRenewal;
-    const bool isAllowed = isWrite ? Writes.take(FLAGS_writes_per_second)
-                                   : Reads.take(FLAGS_reads_per_second);
+    const bool isAllowed = isWrite ? WriteLimiter.allow(FLAGS_writes_per_second)
+                                   : ReadLimiter.allow(FLAGS_reads_per_second);
     if (!isAllowed) {
-      co_await x.send(errorResponse(429, "rate limit"));
+      co_await x.send(errorResponse(429, "rate limit exceeded"));
       co_return;
     }
     if (path == names::path::StoreWatch)
       co_await waitForChange(request);
-    http::Response response = answer(request);
-    if (isWrite && TheFaults.LoseAnswers > 0 && response.Status == 200) {
-      --TheFaults.LoseAnswers;
+    http::Response response = dispatch(request);
+    if (isWrite && InjectedFaults.ResponsesToDrop > 0 &&
+        response.Status == 200) {
+      --InjectedFaults.ResponsesToDrop;
       co_await x.endEvents();
       co_return;
     }
@@ -124,7 +127,7 @@
     return {{"tlsKey", key},
             {"value", entry.Value},
             {"rev", entry.Revision},
-            {"made", entry.Made},
+            {"made", entry.CreateRevision},
             {"lease", entry.Lease}};
   }
 
@@ -132,35 +135,36 @@
            std::uint64_t lease) {
     StoredEntry &entry = Entries[key];
     entry.Revision = Revision;
-    if (entry.Made == 0)
-      entry.Made = Revision;
+    if (entry.CreateRevision == 0)
+      entry.CreateRevision = Revision;
     entry.Value = value;
     entry.Lease = lease;
-    remember({Revision, key, false, entry});
+    recordChange({Revision, key, false, entry});
   }
 
   void remove(const std::string &key) {
     if (Entries.erase(key) > 0)
-      remember({Revision, key, true, {}});
+      recordChange({Revision, key, true, {}});
   }
 
-  void remember(Change change) {
+  void recordChange(Change change) {
     History.push_back(std::move(change));
-    if (History.size() <= MostHistory)
+    if (History.size() <= MaxHistory)
       return;
-    Forgotten = History.front().Revision;
+    CompactedRevision = History.front().Revision;
     History.pop_front();
   }
 
   void expireLeases() {
     const auto now = Clock::now();
-    std::erase_if(Leases,
-                  [&](const auto &entry) { return entry.second.Until < now; });
-    std::vector<std::string> lapsed;
+    std::erase_if(Leases, [&](const auto &entry) {
+      return entry.second.ExpiresAt < now;
+    });
+    std::vector<std::string> expired;
     for (const auto &[key, entry] : Entries)
       if (entry.Lease != 0 && !Leases.contains(entry.Lease))
-        lapsed.push_back(key);
-    for (const std::string &key : lapsed) {
+        expired.push_back(key);
+    for (const std::string &key : expired) {
       ++Revision;
       remove(key);
     }
@@ -168,7 +172,7 @@
 
   std::vector<const Change *> changesFor(const http::Request &request) const {
     const std::string prefix(request.query("pathPrefix"));
-    const std::uint64_t after = numberOf(request.query("sinceRev"), 0);
+    const std::uint64_t after = parseNumberOr(request.query("sinceRev"), 0);
     std::vector<const Change *> changes;
     for (const Change &change : History)
       if (change.Revision > after && change.Key.starts_with(prefix))
@@ -178,17 +182,18 @@
 
   asio::awaitable<void> waitForChange(const http::Request &request) {
     const auto until =
-        Clock::now() + base::milliseconds(numberOf(request.query("waitMs"), 0));
-    while (Clock::now() < until && !TheFaults.IsDown) {
+        Clock::now() +
+        base::milliseconds(parseNumberOr(request.query("waitMs"), 0));
+    while (Clock::now() < until && !InjectedFaults.IsDown) {
       expireLeases();
-      listVms();
+      updateVmEntries();
       if (!changesFor(request).empty())
         co_return;
-      co_await sleepFor(WatchStep);
+      co_await sleepFor(WatchPollInterval);
     }
   }
 
-  http::Response answer(const http::Request &request) {
+  http::Response dispatch(const http::Request &request) {
     const std::string path(request.path());
     if (path == names::path::StoreKey)
       return read(request);
@@ -202,13 +207,13 @@
       return grant(request);
     if (path.starts_with(names::path::LeaseRenew) && request.Method == "POST")
       return renew(request);
-    return errorResponse(404, "unknown call");
+    return errorResponse(404, "unknown path or method");
   }
 
   http::Response read(const http::Request &request) {
     const auto it = Entries.find(std::string(request.query("tlsKey")));
     if (it == Entries.end())
-      return errorResponse(404, "no such key");
+      return errorResponse(404, "key not found");
     Json json = toJson(it->first, it->second);
     json["at"] = Revision;
     return jsonResponse(200, json);
@@ -226,8 +231,8 @@
   }
 
   http::Response watch(const http::Request &request) {
-    if (numberOf(request.query("sinceRev"), 0) < Forgotten)
-      return errorResponse(410, "the history is gone");
+    if (parseNumberOr(request.query("sinceRev"), 0) < CompactedRevision)
+      return errorResponse(410, "history before this revision was compacted");
     Json events = Json::array();
     for (const Change *change : changesFor(request))
       events.push_back(change->IsRemoved ? Json{{"tlsKey", change->Key},
@@ -245,25 +250,25 @@
   http::Response write(const http::Request &request) {
     const Json body = Json::parse(request.Body, nullptr, false);
     if (!body.is_object())
-      return errorResponse(400, "an object is expected");
-    bool isHeld = true;
+      return errorResponse(400, "expected a JSON object");
+    bool conditionsHold = true;
     Json present = Json::array();
-    for (const Json &row : body.value("expectRev", Json::array())) {
-      const std::string key = row.at("tlsKey");
-      isHeld = isHeld && revisionOf(key) == row.at("rev");
+    for (const Json &item : body.value("expectRev", Json::array())) {
+      const std::string key = item.at("tlsKey");
+      conditionsHold = conditionsHold && revisionOf(key) == item.at("rev");
       if (const auto it = Entries.find(key); it != Entries.end())
         present.push_back(toJson(key, it->second));
     }
-    if (!isHeld)
+    if (!conditionsHold)
       return jsonResponse(412, {{"items", present}});
-    for (const Json &row : body.value("put", Json::array()))
-      if (const std::uint64_t lease = row.value("lease", std::uint64_t{0});
+    for (const Json &item : body.value("put", Json::array()))
+      if (const std::uint64_t lease = item.value("lease", std::uint64_t{0});
           lease != 0 && !Leases.contains(lease))
-        return errorResponse(404, "the lease has lapsed");
+        return errorResponse(404, "lease not found or expired");
     ++Revision;
-    for (const Json &row : body.value("put", Json::array()))
-      put(row.at("tlsKey"), row.at("value"),
-          row.value("lease", std::uint64_t{0}));
+    for (const Json &item : body.value("put", Json::array()))
+      put(item.at("tlsKey"), item.at("value"),
+          item.value("lease", std::uint64_t{0}));
     for (const Json &key : body.value("remove", Json::array()))
       remove(key);
     return jsonResponse(200, {{"rev", Revision}});
@@ -271,35 +276,36 @@
 
   http::Response grant(const http::Request &request) {
     const Json body = Json::parse(request.Body, nullptr, false);
-    const base::milliseconds time(body.is_object() ? body.value("ttl_ms", 1'000)
-                                                   : 1'000);
-    const std::uint64_t id = ++NextLease;
-    Leases[id] = {Clock::now() + time, time};
-    return jsonResponse(200, {{"lease", id}, {"ttl_ms", time.count()}});
+    const base::milliseconds ttl(body.is_object() ? body.value("ttl_ms", 1'000)
+                                                  : 1'000);
+    const std::uint64_t id = ++LastLease;
+    Leases[id] = {Clock::now() + ttl, ttl};
+    return jsonResponse(200, {{"lease", id}, {"ttl_ms", ttl.count()}});
   }
 
   http::Response renew(const http::Request &request) {
     const std::uint64_t id =
-        numberOf(request.path().substr(names::path::LeaseRenew.size()), 0);
+        parseNumberOr(request.path().substr(names::path::LeaseRenew.size()), 0);
     const auto it = Leases.find(id);
     if (it == Leases.end())
-      return errorResponse(404, "the lease has lapsed");
-    it->second.Until = Clock::now() + it->second.Time;
-    return jsonResponse(200, {{"ttl_ms", it->second.Time.count()}});
+      return errorResponse(404, "lease not found or expired");
+    it->second.ExpiresAt = Clock::now() + it->second.Ttl;
+    return jsonResponse(200, {{"ttl_ms", it->second.Ttl.count()}});
   }
 
-  /// Lays the list of VMs that is visible by now under its prefix.
-  void listVms() {
+  /// Replaces the entries under VmPrefix when another list of VMs becomes
+  /// visible.
+  void updateVmEntries() {
     const Json visible = visibleVms();
-    if (visible == ListedVms)
+    if (visible == PublishedVms)
       return;
-    ListedVms = visible;
+    PublishedVms = visible;
     ++Revision;
-    std::vector<std::string> old;
+    std::vector<std::string> oldKeys;
     for (const auto &[key, entry] : Entries)
       if (key.starts_with(VmPrefix))
-        old.push_back(key);
-    for (const std::string &key : old)
+        oldKeys.push_back(key);
+    for (const std::string &key : oldKeys)
       remove(key);
     for (const Json &vm : visible)
       put(std::string(VmPrefix) + vm.at("name").get<std::string>(),
@@ -308,51 +314,51 @@
 
   Json visibleVms() {
     const auto now = Clock::now() - base::milliseconds(FLAGS_vm_lag_ms);
-    while (Lists.size() > 1 && std::next(Lists.begin())->first <= now)
-      Lists.erase(Lists.begin());
-    const bool hasAny = !Lists.empty() && Lists.begin()->first <= now;
-    return hasAny ? Lists.begin()->second : Json::array();
+    while (VmLists.size() > 1 && std::next(VmLists.begin())->first <= now)
+      VmLists.erase(VmLists.begin());
+    const bool hasAny = !VmLists.empty() && VmLists.begin()->first <= now;
+    return hasAny ? VmLists.begin()->second : Json::array();
   }
 
-  http::Response test(const http::Request &request) {
+  http::Response handleTestRequest(const http::Request &request) {
     const std::string path(request.path());
     if (path == "/v1/test/vms") {
       Json list = Json::parse(request.Body, nullptr, false);
       if (!list.is_array())
-        return errorResponse(400, "a list is expected");
-      Lists.emplace(Clock::now(), std::move(list));
+        return errorResponse(400, "expected a JSON array of VMs");
+      VmLists.emplace(Clock::now(), std::move(list));
       return emptyResponse(200);
     }
     if (path == "/v1/test/counts")
-      return jsonResponse(
-          200, {{"reads", Reads.total()}, {"writes", Writes.total()}});
-    TheFaults.IsDown = numberOf(request.query("down"), 0) != 0;
-    TheFaults.Delay =
-        base::milliseconds(numberOf(request.query("delay_ms"), 0));
-    TheFaults.LoseAnswers =
-        static_cast<int>(numberOf(request.query("lose"), 0));
+      return jsonResponse(200, {{"reads", ReadLimiter.total()},
+                                {"writes", WriteLimiter.total()}});
+    InjectedFaults.IsDown = parseNumberOr(request.query("down"), 0) != 0;
+    InjectedFaults.Delay =
+        base::milliseconds(parseNumberOr(request.query("delay_ms"), 0));
+    InjectedFaults.ResponsesToDrop =
+        static_cast<int>(parseNumberOr(request.query("lose"), 0));
     return emptyResponse(200);
   }
 
   std::map<std::string, StoredEntry> Entries;
   std::map<std::uint64_t, Lease> Leases;
   std::deque<Change> History;
-  /// Changes up to this revision are no longer told.
-  std::uint64_t Forgotten = 0;
-  Json ListedVms = Json::array();
-  std::multimap<Clock::time_point, Json> Lists;
+  /// Watches can no longer read changes up to this revision.
+  std::uint64_t CompactedRevision = 0;
+  Json PublishedVms = Json::array();
+  std::multimap<Clock::time_point, Json> VmLists;
   std::uint64_t Revision = 0;
-  std::uint64_t NextLease = 0;
-  RateLimit Reads;
-  RateLimit Writes;
-  Faults TheFaults;
+  std::uint64_t LastLease = 0;
+  RateLimiter ReadLimiter;
+  RateLimiter WriteLimiter;
+  Faults InjectedFaults;
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "fake-platform: a stand-in for the platform",
-                   Flags);
+  readToolFlags(argc, argv, "fake-platform: a fake of the platform's store",
+                Flags);
   asio::io_context io(1);
   Platform platform;
   return serveUntilStopped(io, FLAGS_listen,
--- a/tools/fake-service.cc
+++ b/tools/fake-service.cc
@@ -1,12 +1,12 @@
-// fake-service: a stand-in for a plain service, such as saving progress. It
-// counts how often each call ran: the body's "id" names the call.
-#include "stand-in.h"
+// fake-service: a fake plain service, such as one that saves progress. It
+// counts how often each call runs, by the "id" in the request body.
+#include "tool-support.h"
 
 #include <gflags/gflags.h>
 #include <map>
 
 DEFINE_string(listen, "127.0.0.1:7200", "[network] IP:port");
-DEFINE_int32(work_ms, 5, "[service] time to run a call");
+DEFINE_int32(work_ms, 5, "[service] duration of a call");
 
 namespace {
 
@@ -23,7 +23,7 @@
       co_return;
     }
     if (request.path() == "/v1/test/runs") {
-      co_await x.send(jsonResponse(200, Json(Runs)));
+      co_await x.send(jsonResponse(200, Json(RunCounts)));
       co_return;
     }
     const Json body = Json::parse(request.Body, nullptr, false);
@@ -31,7 +31,7 @@
         body.is_object() && body.contains("id") && body["id"].is_string()
             ? body["id"].get<std::string>()
             : "";
-    const int run = ++Runs[id];
+    const int run = ++RunCounts[id];
     co_await sleepFor(base::milliseconds(FLAGS_work_ms));
     const Json answer{
         {"id", id}, {"run", run}, {"path", std::string(request.path())}};
@@ -39,14 +39,13 @@
   }
 
 private:
-  std::map<std::string, int> Runs;
+  std::map<std::string, int> RunCounts;
 };
 
 } // namespace
 
 int main(int argc, char **argv) {
-  readStandInFlags(argc, argv, "fake-service: a stand-in for a plain service",
-                   Flags);
+  readToolFlags(argc, argv, "fake-service: a fake plain service", Flags);
   asio::io_context io(1);
   Service service;
   return serveUntilStopped(io, FLAGS_listen,
--- a/tools/policy-bench.cc
+++ b/tools/policy-bench.cc
@@ -1,6 +1,7 @@
-// policy-bench: measures the decisions on a virtual clock, against baselines
-// in the same run. Ends with one line of ratios, own policy to greedy.
-#include "policy-run.h"
+// policy-bench: compares the scheduling and routing policy with baselines on a
+// virtual clock. Prints one line of ratios, own policy to greedy, for each
+// combination of lengths, load and seed.
+#include "policy-simulation.h"
 
 #include "drumlanding/base/settings.h"
 
@@ -13,22 +14,25 @@
 DEFINE_string(policy, "all",
               "[what] own, greedy, reserve, oracle, random-route, "
               "least-loaded, or all");
-DEFINE_string(load, "1.0", "[what] loads, separated by commas");
+DEFINE_string(
+    load, "1.0",
+    "[what] loads, as multiples of the saturated throughput, separated "
+    "by commas");
 DEFINE_string(seed, "1", "[what] seeds, separated by commas");
 DEFINE_string(lengths, "lernwerk",
               "[what] lernwerk, pwani, mixed, drift, or a file with one "
-              "output length a line; several separated by commas");
+              "output length per line; several separated by commas");
 DEFINE_int32(engines, 1, "[what] number of engines, 1 to 64");
-DEFINE_int32(report_lag, 500, "[what] lag of the reports, milliseconds");
+DEFINE_int32(report_lag, 500, "[what] delay of the load reports, milliseconds");
 DEFINE_string(fault, "none",
               "[what] none, engine-reclaimed, report-stalled, kv-outage");
-DEFINE_int32(time, 600, "[what] virtual seconds");
+DEFINE_int32(time, 600, "[what] virtual duration in seconds");
 DEFINE_double(burst, 1,
-              "[what] one organisation sends this many times its "
-              "part in the second half");
+              "[what] factor on the request rate of the first "
+              "organisation in the second half");
 DEFINE_int32(only_organisation, -1,
-             "[what] give the figures of this organisation; -1 all, -2 all "
-             "but the first, which bursts");
+             "[what] index of the only organisation to measure; -1 for all, "
+             "-2 for all except the first, which --burst applies to");
 DEFINE_double(stall_weight, 1, "[contract] weight of stalls");
 DEFINE_double(gap_weight, 1, "[contract] weight of gaps");
 DEFINE_double(risk, -1, "[policy] risk factor; -1 for the default");
@@ -36,14 +40,14 @@
               "[policy] risk added by a yield; -1 for "
               "the default");
 DEFINE_double(overdrawn, -1,
-              "[policy] memory for organisations above their "
-              "share; -1 for the default");
+              "[policy] fraction of the capacity for organisations above "
+              "their share; -1 for the default");
 DEFINE_int32(horizon, -1,
-             "[policy] longest horizon in tokens; -1 for the "
+             "[policy] maximum horizon in tokens; -1 for the "
              "default");
 DEFINE_int32(step_target, -1,
              "[policy] step target in milliseconds; -1 for the default");
-DEFINE_string(csv, "", "[output] file to write");
+DEFINE_string(csv, "", "[output] CSV file to write; empty for none");
 DEFINE_bool(ratios_only, false, "[output] print only the lines of ratios");
 
 namespace {
@@ -62,11 +66,11 @@
                                       "step_target",  "csv",
                                       "ratios_only"};
 
-constexpr PolicyKind Kinds[] = {
+constexpr PolicyKind Policies[] = {
     PolicyKind::Greedy,      PolicyKind::Reserve, PolicyKind::RandomRoute,
     PolicyKind::LeastLoaded, PolicyKind::Oracle,  PolicyKind::Own};
 
-double numberOf(const std::string &flag, const std::string &text) {
+double parseNumber(const std::string &flag, const std::string &text) {
   try {
     return std::stod(text);
   } catch (const std::exception &) {
@@ -89,19 +93,22 @@
     o.FileLengths.push_back(std::max(length, 1U));
   if (o.FileLengths.empty())
     base::exitOnBadSettings(base::invalid(
-        "--lengths", "'" + name + "' is no shape and no file of lengths"));
+        "--lengths", "expected lernwerk, pwani, mixed, drift or a file with "
+                     "one length per line, got '" +
+                         name + "'"));
 }
 
 PolicyOptions makeOptions(const std::string &lengths) {
   PolicyOptions o;
   setLengths(o, lengths);
   if (FLAGS_engines < 1 || FLAGS_engines > 64)
-    base::exitOnBadSettings(base::invalid("--engines", "must be from 1 to 64"));
-  o.Engines = FLAGS_engines;
+    base::exitOnBadSettings(
+        base::invalid("--engines", "must be between 1 and 64"));
+  o.EngineCount = FLAGS_engines;
   o.ReportLag = base::milliseconds(FLAGS_report_lag);
-  o.Time = base::seconds(FLAGS_time);
-  o.Burst = FLAGS_burst;
-  o.OnlyOrganisation = FLAGS_only_organisation;
+  o.SimulatedTime = base::seconds(FLAGS_time);
+  o.BurstFactor = FLAGS_burst;
+  o.MeasuredOrganisation = FLAGS_only_organisation;
   o.StallWeight = FLAGS_stall_weight;
   o.GapWeight = FLAGS_gap_weight;
   if (FLAGS_risk >= 0)
@@ -122,13 +129,13 @@
   const auto it = faults.find(FLAGS_fault);
   if (it == faults.end())
     base::exitOnBadSettings(base::invalid(
-        "--fault", "'" + FLAGS_fault + "' is not known; see --help"));
+        "--fault", "unknown fault '" + FLAGS_fault + "'; see --help"));
   o.Fault = it->second;
   return o;
 }
 
-/// The results of all policies under one load, seed and shape.
-struct Case {
+/// The runs and results of all policies for one load, seed and length source.
+struct BenchCase {
   std::string Lengths;
   double Load = 0;
   std::uint64_t Seed = 0;
@@ -136,13 +143,13 @@
   std::map<PolicyKind, PolicyResult> Results;
 };
 
-void printRow(const Case &c, PolicyKind kind, std::FILE *out,
+void printRow(const BenchCase &c, PolicyKind kind, std::FILE *out,
               const char *format) {
   const PolicyResult &r = c.Results.at(kind);
   std::fprintf(out, format, c.Lengths.c_str(), c.Load,
                static_cast<unsigned long long>(c.Seed),
                std::string(toString(kind)).c_str(), r.PreemptionsPerThousand,
-               r.StallMsPerRequest, r.LongestStallS, r.GapP50Ms, r.GapP99Ms,
+               r.StallMsPerRequest, r.MaxStallS, r.GapP50Ms, r.GapP99Ms,
                r.GapP999Ms, r.FirstTokenP95Ms, r.TokensPerSecond,
                static_cast<unsigned long long>(r.Refused), r.Fairness);
 }
@@ -153,7 +160,7 @@
   return a / b;
 }
 
-void printRatios(const Case &c) {
+void printRatios(const BenchCase &c) {
   if (!c.Results.contains(PolicyKind::Own) ||
       !c.Results.contains(PolicyKind::Greedy))
     return;
@@ -172,29 +179,29 @@
               ratio(own.GapP99Ms, greedy.GapP99Ms),
               ratio(own.GapP999Ms, greedy.GapP999Ms),
               ratio(own.TokensPerSecond, greedy.TokensPerSecond), oracle,
-              own.LongestStallS, c.Lengths.c_str(), c.Load,
+              own.MaxStallS, c.Lengths.c_str(), c.Load,
               static_cast<unsigned long long>(c.Seed));
 }
 
-std::vector<PolicyKind> wantedKinds() {
+std::vector<PolicyKind> selectedPolicies() {
   if (FLAGS_policy == "all")
-    return {std::begin(Kinds), std::end(Kinds)};
-  for (PolicyKind kind : Kinds)
+    return {std::begin(Policies), std::end(Policies)};
+  for (PolicyKind kind : Policies)
     if (FLAGS_policy == toString(kind))
       return {kind};
   base::exitOnBadSettings(base::invalid(
-      "--policy", "'" + FLAGS_policy + "' is not known; see --help"));
+      "--policy", "unknown policy '" + FLAGS_policy + "'; see --help"));
 }
 
-std::vector<Case> makeCases() {
-  std::vector<Case> cases;
+std::vector<BenchCase> makeBenchCases() {
+  std::vector<BenchCase> cases;
   for (const std::string &lengths : base::splitList(FLAGS_lengths))
     for (const std::string &load : base::splitList(FLAGS_load))
       for (const std::string &seed : base::splitList(FLAGS_seed)) {
-        Case c;
+        BenchCase c;
         c.Lengths = lengths;
-        c.Load = numberOf("--load", load);
-        c.Seed = static_cast<std::uint64_t>(numberOf("--seed", seed));
+        c.Load = parseNumber("--load", load);
+        c.Seed = static_cast<std::uint64_t>(parseNumber("--seed", seed));
         cases.push_back(std::move(c));
       }
   return cases;
@@ -204,19 +211,18 @@
 
 int main(int argc, char **argv) {
   const auto read = base::readSettings(
-      argc, argv, "policy-bench: measures the decisions on a virtual clock",
-      Flags);
+      argc, argv, "policy-bench: compares policies on a virtual clock", Flags);
   if (!ok(read))
     base::exitOnBadSettings(error(read));
-  std::vector<Case> cases = makeCases();
-  for (Case &c : cases)
-    for (PolicyKind kind : wantedKinds()) {
+  std::vector<BenchCase> cases = makeBenchCases();
+  for (BenchCase &c : cases)
+    for (PolicyKind kind : selectedPolicies()) {
       PolicyOptions o = makeOptions(c.Lengths);
       o.Policy = kind;
       o.Load = c.Load;
       o.Seed = c.Seed;
       c.Running[kind] =
-          std::async(std::launch::async, [o] { return runPolicy(o); });
+          std::async(std::launch::async, [o] { return simulatePolicy(o); });
     }
   std::FILE *csv =
       FLAGS_csv.empty() ? nullptr : std::fopen(FLAGS_csv.c_str(), "w");
@@ -236,8 +242,8 @@
                 "lengths", "load", "seed", "policy", "preempt/k", "stall ms",
                 "longest", "gap50", "gap99", "gap99.9", "first95", "tokens/s",
                 "refused", "fairness");
-  for (Case &c : cases) {
-    for (PolicyKind kind : wantedKinds()) {
+  for (BenchCase &c : cases) {
+    for (PolicyKind kind : selectedPolicies()) {
       c.Results[kind] = c.Running.at(kind).get();
       if (!FLAGS_ratios_only)
         printRow(c, kind, stdout, TableRow);
--- a/tools/stand-in.h
+++ b/tools/tool-support.h
@@ -1,4 +1,5 @@
-/// What the stand-ins share: flags, one thread, and JSON answers.
+/// Shared by the fake servers and `load`: flags, a single-threaded HTTP server,
+/// and JSON responses.
 #pragma once
 
 #include "drumlanding/base/settings.h"
@@ -36,23 +37,27 @@
   return jsonResponse(status, {{"error", message}});
 }
 
-inline std::uint64_t numberOf(std::string_view text, std::uint64_t otherwise) {
-  std::uint64_t n = otherwise;
+/// Parses a decimal number; returns `fallback` if `text` does not start with
+/// one.
+inline std::uint64_t parseNumberOr(std::string_view text,
+                                   std::uint64_t fallback) {
+  std::uint64_t n = fallback;
   std::from_chars(text.data(), text.data() + text.size(), n);
   return n;
 }
 
-/// Reads a stand-in's flags or exits with 2.
-inline void readStandInFlags(int argc, char **argv, std::string_view synopsis,
-                             std::span<const std::string_view> flags) {
+/// Reads the flags of a program; exits with status 2 if they are invalid.
+inline void readToolFlags(int argc, char **argv, std::string_view synopsis,
+                          std::span<const std::string_view> flags) {
   if (sodium_init() < 0)
     std::exit(2);
-  const auto words = base::readSettings(argc, argv, synopsis, flags);
-  if (!ok(words))
-    base::exitOnBadSettings(error(words));
+  const auto settings = base::readSettings(argc, argv, synopsis, flags);
+  if (!ok(settings))
+    base::exitOnBadSettings(error(settings));
 }
 
-/// Serves until SIGTERM on one thread.
+/// Serves on the calling thread until SIGTERM or SIGINT, then exits the
+/// process.
 inline int serveUntilStopped(asio::io_context &io, std::string_view listen,
                              http::Handler handler) {
   const auto endpoint = base::parseEndpoint("--listen", listen);
