--- a/include/drumlanding/base/clock.h
+++ b/include/drumlanding/base/clock.h
@@ -52,7 +52,7 @@
   Now Current{Instant(std::chrono::hours(1)), Epoch};
 };
 
-/// Returns `d` in whole milliseconds, rounded down.
+/// Returns `d` in milliseconds, truncated to an integer.
 inline std::int64_t toMs(Duration d) {
   return std::chrono::duration_cast<milliseconds>(d).count();
 }
