--- a/test/soak/callers.cc
+++ b/test/soak/callers.cc
@@ -13,247 +13,266 @@
 using base::milliseconds;
 using daemon::sleepFor;
 
-constexpr milliseconds ConnectLimit{1'000};
+constexpr milliseconds ConnectTimeout{1'000};
 /// A final answer may come this long after the route's time.
-constexpr milliseconds AnswerSlack{1'500};
-constexpr milliseconds LongestPauseBetween{60};
+constexpr milliseconds ResponseSlack{1'500};
+constexpr milliseconds MaxPause{60};
 /// A config is in force everywhere within this time.
-constexpr milliseconds ConfigBound{2'000};
-constexpr int ShortStream = 60;
-constexpr int LongStream = 600;
-constexpr int Fine = 200;
-constexpr int Unauthorised = 401;
+constexpr milliseconds ConfigPropagationTime{2'000};
+constexpr int MaxShortStreamEvents = 60;
+constexpr int MaxLongStreamEvents = 600;
+constexpr int StatusOk = 200;
+constexpr int StatusUnauthorised = 401;
 
-bool isPromise(int status) {
+bool meansNotRun(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-std::string nameOf(const Exchanged &e) {
-  return fmt::format("{} {} through {} status {}", e.Attempt, e.Path,
-                     e.Through->Process->Name, e.Status);
+std::string describe(const RequestRecord &record) {
+  return fmt::format("{} {} through {} status {}", record.Attempt, record.Path,
+                     record.Target->Process->Name, record.Status);
 }
 
 } // namespace
 
-void Callers::begin(int callers) {
+void Callers::start(int callers) {
   for (int i = 0; i < callers; ++i)
     asio::co_spawn(Io, callLoop(), asio::detached);
 }
 
 asio::awaitable<void> Callers::callLoop() {
-  ++Open;
-  std::shared_ptr<http::Connection> kept;
-  Gateway *keptTo = nullptr;
-  while (!IsOver) {
-    Exchanged e = nextRequest();
-    if (keptTo != e.Through || e.IsStream)
-      kept.reset();
-    keptTo = e.Through;
-    co_await exchange(e, kept);
-    check(e);
+  ++ActiveCallers;
+  std::shared_ptr<http::Connection> keepAlive;
+  Gateway *keepAliveGateway = nullptr;
+  while (!IsStopping) {
+    RequestRecord record = nextRequest();
+    if (keepAliveGateway != record.Target || record.IsStream)
+      keepAlive.reset();
+    keepAliveGateway = record.Target;
+    co_await sendRequest(record, keepAlive);
+    checkResponse(record);
     co_await sleepFor(milliseconds(
-        Random.below(static_cast<std::uint64_t>(LongestPauseBetween.count()))));
+        Random.below(static_cast<std::uint64_t>(MaxPause.count()))));
   }
-  --Open;
+  --ActiveCallers;
 }
 
-Exchanged Callers::nextRequest() {
-  Exchanged e;
-  e.Attempt = fmt::format("{:016x}", ++Next);
-  e.Through = &Fleet.choose(Random);
-  e.Life = e.Through->Process->Life;
-  e.Key = Operators::baseKey();
+RequestRecord Callers::nextRequest() {
+  RequestRecord record;
+  record.Attempt = fmt::format("{:016x}", ++NextAttempt);
+  record.Target = &Gateways.chooseReady(Random);
+  record.InstanceNumber = record.Target->Process->InstanceNumber;
+  record.Key = ConfigWriter::baseKey();
   const double kind = Random.unit();
   if (kind < 0.3) {
-    e.IsStream = true;
-    const int most = Random.chance(0.3) ? LongStream : ShortStream;
-    e.Path = fmt::format("/stream/{}",
-                         1 + Random.below(static_cast<std::uint64_t>(most)));
-    return e;
+    record.IsStream = true;
+    const int maxEvents =
+        Random.chance(0.3) ? MaxLongStreamEvents : MaxShortStreamEvents;
+    record.Path = fmt::format(
+        "/stream/{}", 1 + Random.below(static_cast<std::uint64_t>(maxEvents)));
+    return record;
   }
-  e.Path = kind < 0.6 ? "/once/x" : "/often/x";
-  if (kind > 0.8 && Plans.serial() > 2) {
+  record.Path = kind < 0.6 ? "/once/x" : "/often/x";
+  if (kind > 0.8 && Configs.serial() > 2) {
     // The newest key, the one before, or one that was taken away.
-    e.KeySerial = Plans.serial() - static_cast<int>(Random.below(3));
-    e.Key = Operators::keyOf(e.KeySerial);
+    record.KeySerial = Configs.serial() - static_cast<int>(Random.below(3));
+    record.Key = ConfigWriter::keyForSerial(record.KeySerial);
   }
-  return e;
+  return record;
 }
 
 asio::awaitable<void>
-Callers::exchange(Exchanged &e, std::shared_ptr<http::Connection> &kept) {
+Callers::sendRequest(RequestRecord &record,
+                     std::shared_ptr<http::Connection> &keepAlive) {
   ++Counts.Sent;
-  e.SentAt = Journal::now();
-  if (!kept) {
+  record.SentAt = Journal::now();
+  if (!keepAlive) {
     auto opened =
-        co_await http::Connection::open(e.Through->Public, ConnectLimit);
+        co_await http::Connection::open(record.Target->Public, ConnectTimeout);
     if (ok(opened))
-      kept = value(opened);
+      keepAlive = value(opened);
   }
-  if (kept) {
-    const auto isLate = std::make_shared<bool>(false);
-    asio::steady_timer limit(Io);
-    limit.expires_after(Operators::Timeout + AnswerSlack);
-    limit.async_wait([isLate, connection = kept](boost::system::error_code ec) {
-      if (ec)
-        return;
-      *isLate = true;
-      connection->close();
-    });
-    const std::shared_ptr<http::Connection> connection = kept;
-    co_await readAnswer(e, *connection);
-    e.IsLate = *isLate;
+  if (keepAlive) {
+    const auto isTimedOut = std::make_shared<bool>(false);
+    asio::steady_timer timer(Io);
+    timer.expires_after(ConfigWriter::Timeout + ResponseSlack);
+    timer.async_wait(
+        [isTimedOut, connection = keepAlive](boost::system::error_code ec) {
+          if (ec)
+            return;
+          *isTimedOut = true;
+          connection->close();
+        });
+    const std::shared_ptr<http::Connection> connection = keepAlive;
+    co_await readResponse(record, *connection);
+    record.IsTimedOut = *isTimedOut;
   }
-  e.EndedAt = Journal::now();
-  const bool isKept =
-      e.IsWhole && !e.IsStream &&
-      !http::equalIgnoringCase(e.Head.header("Connection"), "close");
-  if (!isKept)
-    kept.reset();
+  record.EndedAt = Journal::now();
+  const bool isReusable =
+      record.IsComplete && !record.IsStream &&
+      !http::equalIgnoringCase(record.Head.header("Connection"), "close");
+  if (!isReusable)
+    keepAlive.reset();
 }
 
-asio::awaitable<void> Callers::readAnswer(Exchanged &e,
-                                          http::Connection &connection) {
-  http::Request request{"POST", e.Path, {}, "body of " + e.Attempt};
+asio::awaitable<void> Callers::readResponse(RequestRecord &record,
+                                            http::Connection &connection) {
+  http::Request request{"POST", record.Path, {}, "body of " + record.Attempt};
   request.Headers = {
-      {"Host", std::string(Operators::Host)},
-      {"X-Attempt-Id", e.Attempt},
-      {"X-Api-Key", e.Key},
-      {"X-Deadline-Ms", std::to_string(Operators::Timeout.count())}};
-  if (e.IsStream)
+      {"Host", std::string(ConfigWriter::Host)},
+      {"X-Attempt-Id", record.Attempt},
+      {"X-Api-Key", record.Key},
+      {"X-Deadline-Ms", std::to_string(ConfigWriter::Timeout.count())}};
+  if (record.IsStream)
     request.Headers.push_back({"X-Token-Usage", "200,400"});
   connection.send(request);
   auto head = co_await connection.readHead();
   if (!ok(head))
     co_return;
-  e.Head = std::move(value(head));
-  e.Status = e.Head.Status;
+  record.Head = std::move(value(head));
+  record.Status = record.Head.Status;
   for (;;) {
-    auto piece = co_await connection.read();
-    if (!ok(piece))
+    auto chunk = co_await connection.read();
+    if (!ok(chunk))
       co_return;
-    if (value(piece).empty())
+    if (value(chunk).empty())
       break;
-    e.Body += value(piece);
+    record.Body += value(chunk);
   }
-  e.IsWhole = true;
+  record.IsComplete = true;
 }
 
-void Callers::check(const Exchanged &e) {
-  count(e);
-  if (isPromise(e.Status))
-    Log.promisedNotRun(e.Attempt);
-  if (e.Status == Fine && e.IsStream)
-    checkStream(e);
-  if (e.Status == Fine && e.IsWhole)
-    checkSuccess(e);
-  checkKeys(e);
-  checkEnd(e);
+void Callers::checkResponse(const RequestRecord &record) {
+  countOutcome(record);
+  if (meansNotRun(record.Status))
+    Log.recordNotRun(record.Attempt);
+  if (record.Status == StatusOk && record.IsStream)
+    checkStream(record);
+  if (record.Status == StatusOk && record.IsComplete)
+    checkSuccess(record);
+  checkKeys(record);
+  checkOutcome(record);
 }
 
-void Callers::count(const Exchanged &e) {
-  if (e.Status == Fine && e.IsWhole)
-    ++Counts.Whole;
-  else if (isPromise(e.Status))
+void Callers::countOutcome(const RequestRecord &record) {
+  if (record.Status == StatusOk && record.IsComplete)
+    ++Counts.Completed;
+  else if (meansNotRun(record.Status))
     ++Counts.Refused;
-  else if (e.IsWhole)
+  else if (record.IsComplete)
     ++Counts.Failed;
   else
-    ++Counts.Broken;
+    ++Counts.Truncated;
 }
 
-void Callers::checkSuccess(const Exchanged &e) {
-  if (e.Head.header("X-Attempt-Id") != e.Attempt ||
-      e.Head.header("X-Served-Stamp").empty())
-    Log.broken("the whole answer to its own request", nameOf(e));
-  if (!e.IsStream && !e.Body.starts_with("done " + e.Attempt + " by i-"))
-    Log.broken("the whole answer to its own request",
-               nameOf(e) + " got " + e.Body);
+void Callers::checkSuccess(const RequestRecord &record) {
+  if (record.Head.header("X-Attempt-Id") != record.Attempt ||
+      record.Head.header("X-Served-Stamp").empty())
+    Log.recordViolation("the whole answer to its own request",
+                        describe(record));
+  if (!record.IsStream &&
+      !record.Body.starts_with("done " + record.Attempt + " by i-"))
+    Log.recordViolation("the whole answer to its own request",
+                        describe(record) + " got " + record.Body);
 }
 
 /// Each event once, in order, all of one generation; complete only when whole.
-void Callers::checkStream(const Exchanged &e) {
-  const int all = std::stoi(e.Path.substr(e.Path.rfind('/') + 1));
+void Callers::checkStream(const RequestRecord &record) {
+  const int eventCount =
+      std::stoi(record.Path.substr(record.Path.rfind('/') + 1));
   std::string generation;
   int next = 0;
   std::size_t at = 0;
   for (std::size_t end = 0;
-       (end = e.Body.find("\n\n", at)) != std::string::npos; at = end + 2) {
-    const std::string event = e.Body.substr(at, end - at);
-    const std::string head = fmt::format("id: {}\ndata: {} ", next, e.Attempt);
-    if (!event.starts_with(head)) {
-      Log.broken("each token once, in order",
-                 fmt::format("{} event {} is {}", nameOf(e), next, event));
+       (end = record.Body.find("\n\n", at)) != std::string::npos;
+       at = end + 2) {
+    const std::string event = record.Body.substr(at, end - at);
+    const std::string expectedPrefix =
+        fmt::format("id: {}\ndata: {} ", next, record.Attempt);
+    if (!event.starts_with(expectedPrefix)) {
+      Log.recordViolation(
+          "each token once, in order",
+          fmt::format("{} event {} is {}", describe(record), next, event));
       return;
     }
-    const std::string made =
-        event.substr(head.size(), event.find(' ', head.size()) - head.size());
-    if (!generation.empty() && made != generation)
-      Log.broken("all tokens from one generation", nameOf(e));
-    generation = made;
+    const std::string eventGeneration = event.substr(
+        expectedPrefix.size(),
+        event.find(' ', expectedPrefix.size()) - expectedPrefix.size());
+    if (!generation.empty() && eventGeneration != generation)
+      Log.recordViolation("all tokens from one generation", describe(record));
+    generation = eventGeneration;
     ++next;
   }
-  if (e.IsWhole && (next != all || at != e.Body.size()))
-    Log.broken("a stream cut off does not look whole",
-               fmt::format("{} has {} events of {}", nameOf(e), next, all));
+  if (record.IsComplete && (next != eventCount || at != record.Body.size()))
+    Log.recordViolation("a stream cut off does not look whole",
+                        fmt::format("{} has {} events of {}", describe(record),
+                                    next, eventCount));
 }
 
 /// Keys of configs: in force in time, and never backwards in a gateway's life.
-void Callers::checkKeys(const Exchanged &e) {
-  if (e.Status == Unauthorised && e.KeySerial == 0)
-    Log.broken("a key that every config has is accepted", nameOf(e));
-  if (e.KeySerial == 0 || (e.Status != Unauthorised && e.Status != Fine))
+void Callers::checkKeys(const RequestRecord &record) {
+  if (record.Status == StatusUnauthorised && record.KeySerial == 0)
+    Log.recordViolation("a key that every config has is accepted",
+                        describe(record));
+  if (record.KeySerial == 0 ||
+      (record.Status != StatusUnauthorised && record.Status != StatusOk))
     return;
-  Gateway &gateway = *e.Through;
-  if (gateway.RefusedInLife != gateway.Process->Life)
+  Gateway &gateway = *record.Target;
+  if (gateway.RefusedByInstance != gateway.Process->InstanceNumber)
     gateway.RefusedKey = 0;
-  if (gateway.AcceptedInLife != gateway.Process->Life)
+  if (gateway.AcceptedByInstance != gateway.Process->InstanceNumber)
     gateway.AcceptedKey = 0;
-  const bool isAccepted = e.Status == Fine;
-  if (isAccepted && e.Life == gateway.Process->Life &&
-      e.KeySerial > gateway.AcceptedKey) {
-    gateway.AcceptedInLife = e.Life;
-    gateway.AcceptedKey = e.KeySerial;
-    gateway.AcceptedAt = e.EndedAt;
+  const bool isAccepted = record.Status == StatusOk;
+  if (isAccepted && record.InstanceNumber == gateway.Process->InstanceNumber &&
+      record.KeySerial > gateway.AcceptedKey) {
+    gateway.AcceptedByInstance = record.InstanceNumber;
+    gateway.AcceptedKey = record.KeySerial;
+    gateway.AcceptedAt = record.EndedAt;
   }
-  if (isAccepted && e.Life == gateway.RefusedInLife &&
-      e.KeySerial <= gateway.RefusedKey && e.SentAt > gateway.RefusedAt)
-    Log.broken("a config never goes back", nameOf(e) + " key " + e.Key);
+  if (isAccepted && record.InstanceNumber == gateway.RefusedByInstance &&
+      record.KeySerial <= gateway.RefusedKey &&
+      record.SentAt > gateway.RefusedAt)
+    Log.recordViolation("a config never goes back",
+                        describe(record) + " key " + record.Key);
   // Without an accepted one before, a refused key may be too new for the
   // gateway's config.
-  const bool isTakenAway =
-      e.KeySerial <= gateway.AcceptedKey && e.SentAt > gateway.AcceptedAt;
-  const bool isOld = e.KeySerial < Plans.serial() - 1;
-  if (!isAccepted && isTakenAway && e.KeySerial > gateway.RefusedKey &&
-      e.Life == gateway.Process->Life) {
-    gateway.RefusedInLife = e.Life;
-    gateway.RefusedKey = e.KeySerial;
-    gateway.RefusedAt = e.EndedAt;
+  const bool isRemoved = record.KeySerial <= gateway.AcceptedKey &&
+                         record.SentAt > gateway.AcceptedAt;
+  const bool isOutdated = record.KeySerial < Configs.serial() - 1;
+  if (!isAccepted && isRemoved && record.KeySerial > gateway.RefusedKey &&
+      record.InstanceNumber == gateway.Process->InstanceNumber) {
+    gateway.RefusedByInstance = record.InstanceNumber;
+    gateway.RefusedKey = record.KeySerial;
+    gateway.RefusedAt = record.EndedAt;
   }
-  const base::Instant changed = Plans.changedAt();
-  const bool isBound = changed != base::Instant::max() &&
-                       e.SentAt > changed + ConfigBound &&
-                       !Log.hasFault(changed - Journal::CalmAfter, e.EndedAt);
-  if (isBound && isAccepted == isOld)
-    Log.broken("a config is in force within seconds",
-               nameOf(e) + " key " + e.Key);
+  const base::Instant writtenAt = Configs.writtenAt();
+  const bool isSettled =
+      writtenAt != base::Instant::max() &&
+      record.SentAt > writtenAt + ConfigPropagationTime &&
+      !Log.hasUnplannedFault(writtenAt - Journal::RecoveryTime, record.EndedAt);
+  if (isSettled && isAccepted == isOutdated)
+    Log.recordViolation("a config is in force within seconds",
+                        describe(record) + " key " + record.Key);
 }
 
 /// How a request may end when nothing but planned work goes on, and when
 /// nothing at all does.
-void Callers::checkEnd(const Exchanged &e) {
-  if (e.Status == Fine && e.IsWhole)
+void Callers::checkOutcome(const RequestRecord &record) {
+  if (record.Status == StatusOk && record.IsComplete)
     return;
-  const base::Instant from = e.SentAt - Journal::CalmAfter;
-  if (Log.hasFault(from, e.EndedAt))
+  const base::Instant from = record.SentAt - Journal::RecoveryTime;
+  if (Log.hasUnplannedFault(from, record.EndedAt))
     return;
-  if (e.IsLate)
-    Log.broken("every request gets a final answer in time", nameOf(e));
-  else if (!e.IsWhole && Log.hasRun(e.Attempt) &&
-           e.EndedAt - e.SentAt < Operators::Timeout)
-    Log.broken("a planned stop cuts nothing off", nameOf(e));
-  else if (e.KeySerial == 0 && !Log.hasAnything(from, e.EndedAt))
-    Log.broken("calm requests are served", nameOf(e) + " " + e.Body);
+  if (record.IsTimedOut)
+    Log.recordViolation("every request gets a final answer in time",
+                        describe(record));
+  else if (!record.IsComplete && Log.hasStarted(record.Attempt) &&
+           record.EndedAt - record.SentAt < ConfigWriter::Timeout)
+    Log.recordViolation("a planned stop cuts nothing off", describe(record));
+  else if (record.KeySerial == 0 &&
+           !Log.hasFaultOrPlannedWork(from, record.EndedAt))
+    Log.recordViolation("calm requests are served",
+                        describe(record) + " " + record.Body);
 }
 
 } // namespace drumlanding::soak
--- a/test/soak/callers.h
+++ b/test/soak/callers.h
@@ -2,9 +2,9 @@
 /// check what they are told against the promises.
 #pragma once
 
-#include "gateways.h"
+#include "config-writer.h"
+#include "gateway-pool.h"
 #include "journal.h"
-#include "operators.h"
 
 #include "drumlanding/http/connection.h"
 
@@ -17,66 +17,69 @@
 
 struct CallerCounts {
   int Sent = 0;
-  int Whole = 0;
+  int Completed = 0;
   int Refused = 0;
   int Failed = 0;
-  int Broken = 0;
+  int Truncated = 0;
 };
 
 /// A request and what its caller has seen of the answer.
-struct Exchanged {
+struct RequestRecord {
   std::string Attempt;
   std::string Path;
   std::string Key;
   int KeySerial = 0;
   bool IsStream = false;
-  Gateway *Through = nullptr;
-  int Life = 0;
+  Gateway *Target = nullptr;
+  int InstanceNumber = 0;
   base::Instant SentAt{};
   base::Instant EndedAt{};
   /// 0: the connection closed before a head came.
   int Status = 0;
   http::ResponseHead Head;
   std::string Body;
-  bool IsWhole = false;
+  bool IsComplete = false;
   /// No final answer within the route's time and some more.
-  bool IsLate = false;
+  bool IsTimedOut = false;
 };
 
 class Callers {
 public:
-  Callers(asio::io_context &io, Journal &journal, const Operators &operators,
-          const Gateways &gateways, std::uint64_t seed)
-      : Io(io), Log(journal), Plans(operators), Fleet(gateways), Random(seed) {}
+  Callers(asio::io_context &io, Journal &journal, const ConfigWriter &configs,
+          const GatewayPool &gateways, std::uint64_t seed)
+      : Io(io), Log(journal), Configs(configs), Gateways(gateways),
+        Random(seed) {}
 
-  void begin(int callers);
+  void start(int callers);
   /// Callers end after their current request.
-  void stop() { IsOver = true; }
+  void stop() { IsStopping = true; }
   const CallerCounts &counts() const { return Counts; }
-  int open() const { return Open; }
+  int active() const { return ActiveCallers; }
 
 private:
   asio::awaitable<void> callLoop();
-  Exchanged nextRequest();
-  asio::awaitable<void> exchange(Exchanged &e,
-                                 std::shared_ptr<http::Connection> &kept);
-  asio::awaitable<void> readAnswer(Exchanged &e, http::Connection &connection);
-  void check(const Exchanged &e);
-  void checkSuccess(const Exchanged &e);
-  void checkStream(const Exchanged &e);
-  void checkKeys(const Exchanged &e);
-  void checkEnd(const Exchanged &e);
-  void count(const Exchanged &e);
+  RequestRecord nextRequest();
+  asio::awaitable<void>
+  sendRequest(RequestRecord &record,
+              std::shared_ptr<http::Connection> &keepAlive);
+  asio::awaitable<void> readResponse(RequestRecord &record,
+                                     http::Connection &connection);
+  void checkResponse(const RequestRecord &record);
+  void checkSuccess(const RequestRecord &record);
+  void checkStream(const RequestRecord &record);
+  void checkKeys(const RequestRecord &record);
+  void checkOutcome(const RequestRecord &record);
+  void countOutcome(const RequestRecord &record);
 
   asio::io_context &Io;
   Journal &Log;
-  const Operators &Plans;
-  const Gateways &Fleet;
+  const ConfigWriter &Configs;
+  const GatewayPool &Gateways;
   base::Random Random;
   CallerCounts Counts;
-  bool IsOver = false;
-  int Open = 0;
-  std::uint64_t Next = 0;
+  bool IsStopping = false;
+  int ActiveCallers = 0;
+  std::uint64_t NextAttempt = 0;
 };
 
 } // namespace drumlanding::soak
--- a/test/soak/operators.cc
+++ b/test/soak/config-writer.cc
@@ -1,4 +1,4 @@
-#include "operators.h"
+#include "config-writer.h"
 
 #include "drumlanding/daemon/sleep.h"
 
@@ -9,16 +9,16 @@
 
 using Json = nlohmann::json;
 
-constexpr base::milliseconds AskAgain{200};
+constexpr base::milliseconds RetryInterval{200};
 constexpr std::string_view ConfigKey = "op/config";
 
 Json route(const char *prefix, const char *kind, const char *service,
            int attempts) {
   return {{"name", prefix},
-          {"host", Operators::Host},
+          {"host", ConfigWriter::Host},
           {"pathPrefix", prefix},
           {"kind", kind},
-          {"timeoutMs", Operators::Timeout.count()},
+          {"timeoutMs", ConfigWriter::Timeout.count()},
           {"sloMs", 500},
           {"priority", 0},
           {"maxAttempts", attempts},
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::string Operators::text() const {
+std::string ConfigWriter::configText() const {
   const Json engine{{"slots", 8},          {"kvCapTokens", 30'000},
                     {"kvTokenBytes", 100}, {"linkMbps", 1'000.0},
                     {"moves", true},       {"stride", 1}};
@@ -42,27 +42,28 @@
       {"limits", {{"idleTimeoutMs", 20'000}}},
       {"tenants",
        {{{"name", "school"},
-         {"apiKeys", {baseKey(), keyOf(Serial), keyOf(Serial - 1)}}}}}};
+         {"apiKeys",
+          {baseKey(), keyForSerial(Serial), keyForSerial(Serial - 1)}}}}}};
   return config.dump();
 }
 
-asio::awaitable<void> Operators::change() {
+asio::awaitable<void> ConfigWriter::writeNext() {
   ++Serial;
   Version += 3;
-  ChangedAt = base::Instant::max();
+  WrittenAt = base::Instant::max();
   for (;;) {
     const auto item = co_await Store.read(ConfigKey);
-    if (ok(item) && value(item).Value == text())
+    if (ok(item) && value(item).Value == configText())
       break; // an answer was lost
     if (ok(item)) {
       const auto swap = co_await Store.compareAndSwap(
-          ConfigKey, value(item).Revision, text());
+          ConfigKey, value(item).Revision, configText());
       if (ok(swap) && value(swap).Swapped)
         break;
     }
-    co_await daemon::sleepFor(AskAgain);
+    co_await daemon::sleepFor(RetryInterval);
   }
-  ChangedAt = Journal::now();
+  WrittenAt = Journal::now();
   Log.print("config " + std::to_string(Version) + " acknowledged");
 }
 
--- a/test/soak/operators.h
+++ b/test/soak/config-writer.h
@@ -13,32 +13,34 @@
 
 namespace asio = boost::asio;
 
-class Operators {
+class ConfigWriter {
 public:
   /// How long requests may be held, as the routes say.
   static constexpr base::milliseconds Timeout{6'000};
   static constexpr std::string_view Host = "a.example";
 
-  Operators(Journal &journal, const platform::Store &store)
+  ConfigWriter(Journal &journal, const platform::Store &store)
       : Log(journal), Store(store) {}
 
   /// Writes the next version and returns when the store has it.
-  asio::awaitable<void> change();
+  asio::awaitable<void> writeNext();
 
   int serial() const { return Serial; }
-  base::Instant changedAt() const { return ChangedAt; }
-  static std::string keyOf(int serial) { return "k" + std::to_string(serial); }
+  base::Instant writtenAt() const { return WrittenAt; }
+  static std::string keyForSerial(int serial) {
+    return "k" + std::to_string(serial);
+  }
   static std::string baseKey() { return "k-base"; }
 
 private:
-  std::string text() const;
+  std::string configText() const;
 
   Journal &Log;
   const platform::Store &Store;
   int Serial = 0;
   std::uint64_t Version = 0;
   /// When the store had the newest version.
-  base::Instant ChangedAt = base::Instant::max();
+  base::Instant WrittenAt = base::Instant::max();
 };
 
 } // namespace drumlanding::soak
--- a/test/soak/workers.h
+++ b/test/soak/fake-servers.h
@@ -19,12 +19,12 @@
 namespace drumlanding::soak {
 
 /// How a worker behaves to requests. Its health answer stays good.
-enum class Mood {
-  Well,
-  Errors,    ///< Half of its answers are failures of its own.
-  BreaksOff, ///< Half of its answers break off midway.
-  Loses,     ///< It runs half of the requests and never answers them.
-  Full,      ///< It takes nothing and says so.
+enum class FaultMode {
+  None,
+  Errors,             ///< Half of its answers are failures of its own.
+  TruncatesResponses, ///< Half of its answers break off midway.
+  DropsRequests,      ///< It runs half of the requests and never answers them.
+  Overloaded,         ///< It takes nothing and says so.
 };
 
 /// A generation's memory, at an engine or copied to another.
@@ -33,11 +33,11 @@
   std::string Generation;
   int NextEvent = 0;
   /// The engines where it may go on.
-  std::vector<std::string> At;
+  std::vector<std::string> Engines;
 };
 
 /// What the engines share: copies by handle.
-using Copies = std::map<std::string, Copy>;
+using CopyTable = std::map<std::string, Copy>;
 
 /// A run of a generation that is being streamed.
 struct Generation {
@@ -46,9 +46,9 @@
   bool IsStopped = false;
 };
 
-class Worker {
+class FakeServer {
 public:
-  struct Place {
+  struct Options {
     std::string Service;
     std::string Zone;
     /// What the gateways see, and where the worker listens behind it.
@@ -57,11 +57,11 @@
     bool IsEngine = false;
   };
 
-  Worker(asio::io_context &io, Journal &journal, Copies &copies,
-         const platform::Store &store, Place place, std::uint64_t seed);
+  FakeServer(asio::io_context &io, Journal &journal, CopyTable &copies,
+             const platform::Store &store, Options options, std::uint64_t seed);
 
   /// Listens, and lists itself until the end.
-  void begin();
+  void start();
   /// Says that it leaves; it is gone after `notice` and comes back as another.
   asio::awaitable<void> leave(base::milliseconds notice);
   /// Dies at once, breaking off what it does, and comes back as another, or
@@ -71,10 +71,10 @@
   /// Writes an entry beside the servers' that names none, for a while.
   asio::awaitable<void> writeForeignEntry();
 
-  Mood HasMood = Mood::Well;
+  FaultMode Mode = FaultMode::None;
   Proxy &link() { return *Link; }
   const std::string &id() const { return Id; }
-  const Place &place() const { return At; }
+  const Options &options() const { return Opts; }
   bool isUp() const { return IsUp; }
   bool isLeaving() const { return IsLeaving; }
   /// When the store had taken that it leaves; none while it does not.
@@ -84,38 +84,38 @@
   asio::awaitable<void> serve(http::Request request, http::Exchange &x);
   asio::awaitable<void> call(http::Request request, http::Exchange &x);
   asio::awaitable<void> stream(http::Request request, http::Exchange &x);
-  asio::awaitable<void> move(http::Request request, http::Exchange &x);
+  asio::awaitable<void> migrate(http::Request request, http::Exchange &x);
   asio::awaitable<void> report(http::Exchange &x);
-  asio::awaitable<void> keepListed();
+  asio::awaitable<void> maintainEntry();
   asio::awaitable<bool> writeEntry();
   std::optional<http::Response> refusal(const http::Request &request) const;
-  bool takeCopy(const std::string &from, const std::string &attempt,
-                Generation &generation);
-  http::Response own(const http::Request &request, int status,
-                     std::string body) const;
-  void beginLife();
+  bool resumeFromCopy(const std::string &from, const std::string &attempt,
+                      Generation &generation);
+  http::Response makeResponse(const http::Request &request, int status,
+                              std::string body) const;
+  void startInstance();
 
   asio::io_context &Io;
   Journal &Log;
-  Copies &AllCopies;
+  CopyTable &AllCopies;
   const platform::Store &Store;
-  Place At;
+  Options Opts;
   base::Random Random;
   std::string Id;
-  std::int64_t BornMs = 0;
+  std::int64_t StartedAtMs = 0;
   /// Rises with each life: what an earlier life does ends.
-  int Life = 0;
+  int InstanceNumber = 0;
   bool IsUp = true;
   bool IsLeaving = false;
-  base::Instant GoneAt{};
-  int Open = 0;
+  base::Instant ShutdownAt{};
+  int OpenRequests = 0;
   std::map<std::string, std::shared_ptr<Generation>> Running;
   std::unique_ptr<http::Server> Listener;
   std::unique_ptr<Proxy> Link;
   /// The entry's revision in the store, and the lease that it hangs on.
   std::uint64_t Revision = 0;
   std::uint64_t Lease = 0;
-  int Beats = 0;
+  int SequenceNumber = 0;
 };
 
 } // namespace drumlanding::soak
--- a/test/soak/gateways.h
+++ b/test/soak/gateway-pool.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "journal.h"
-#include "processes.h"
+#include "process-supervisor.h"
 #include "proxy.h"
 
 #include "drumlanding/base/hash.h"
@@ -24,25 +24,25 @@
   std::unique_ptr<Proxy> CallerLink;
   std::unique_ptr<Proxy> StoreLink;
   bool IsReady = false;
-  int Misses = 0;
+  int FailedProbes = 0;
   /// The newest key that this life of the gateway has refused.
   int RefusedKey = 0;
-  int RefusedInLife = 0;
+  int RefusedByInstance = 0;
   base::Instant RefusedAt{};
   /// The newest key that it has accepted in that life, and when.
-  int AcceptedInLife = 0;
+  int AcceptedByInstance = 0;
   int AcceptedKey = 0;
   base::Instant AcceptedAt{};
 };
 
-class Gateways {
+class GatewayPool {
 public:
-  std::vector<std::unique_ptr<Gateway>> All;
+  std::vector<std::unique_ptr<Gateway>> Members;
 
   /// Asks each for its readiness, as a balancer does, until the end.
-  asio::awaitable<void> watchReadiness();
+  asio::awaitable<void> probeReadiness();
   /// Returns a gateway that is ready, or any when none is.
-  Gateway &choose(base::Random &random) const;
+  Gateway &chooseReady(base::Random &random) const;
 };
 
 } // namespace drumlanding::soak
--- a/test/soak/journal.h
+++ b/test/soak/journal.h
@@ -13,7 +13,7 @@
 namespace drumlanding::soak {
 
 /// One run of an attempt on a server.
-struct Run {
+struct Execution {
   std::string Server;
   base::Instant StartedAt{};
 };
@@ -24,39 +24,40 @@
 
   /// A server that leaves gets nothing new after this, as the gateways' flag
   /// --drain_ms says, and a little for what is on its way.
-  static constexpr base::milliseconds LeaveBound{1'300};
+  static constexpr base::milliseconds LeavePropagationTime{1'300};
   /// Trouble is over for a gateway when there was none for so long.
-  static constexpr base::milliseconds CalmAfter{3'000};
+  static constexpr base::milliseconds RecoveryTime{3'000};
 
   static base::Instant now() { return base::SystemClock().now().Steady; }
 
   /// Notes a fault that holds from now on, and returns its number.
-  std::size_t beginFault(std::string what, bool isPlanned);
+  std::size_t beginFault(std::string description, bool isPlanned);
   void endFault(std::size_t number);
   /// True when an unplanned fault held at any time of [from, to].
-  bool hasFault(base::Instant from, base::Instant to) const;
+  bool hasUnplannedFault(base::Instant from, base::Instant to) const;
   /// The same, with planned work.
-  bool hasAnything(base::Instant from, base::Instant to) const;
+  bool hasFaultOrPlannedWork(base::Instant from, base::Instant to) const;
   std::size_t faults() const { return Faults.size(); }
 
   /// Notes that a server begins to work on an attempt.
-  void began(const std::string &attempt, const std::string &server,
-             bool mayRepeat);
+  void recordStart(const std::string &attempt, const std::string &server,
+                   bool isIdempotent);
   /// Notes that a caller was told that an attempt did not run, and never will.
-  void promisedNotRun(const std::string &attempt);
-  bool hasRun(const std::string &attempt) const {
-    return Runs.contains(attempt);
+  void recordNotRun(const std::string &attempt);
+  bool hasStarted(const std::string &attempt) const {
+    return Executions.contains(attempt);
   }
 
   /// Notes work that came to a server after the store had taken that it leaves;
   /// a breach when nothing but planned work went on.
-  void workAfterLeaving(const std::string &attempt, const std::string &server,
-                        base::Instant since);
+  void recordStartAfterLeaving(const std::string &attempt,
+                               const std::string &server, base::Instant since);
 
   /// Which server is at an address; empty when none is up there.
   std::function<std::string(const std::string &address)> ServerAt;
 
-  void broken(std::string_view promise, const std::string &what);
+  void recordViolation(std::string_view promise,
+                       const std::string &description);
   std::size_t violations() const { return Violations; }
 
   /// Prints a line with the seconds since the start.
@@ -64,7 +65,7 @@
 
 private:
   struct Fault {
-    std::string What;
+    std::string Description;
     bool IsPlanned = false;
     base::Instant From{};
     base::Instant To = base::Instant::max();
@@ -72,8 +73,8 @@
 
   base::Instant StartedAt;
   std::vector<Fault> Faults;
-  std::map<std::string, std::vector<Run>> Runs;
-  std::map<std::string, base::Instant> Promised;
+  std::map<std::string, std::vector<Execution>> Executions;
+  std::map<std::string, base::Instant> ReportedNotRun;
   std::size_t Violations = 0;
 };
 
--- a/test/soak/main.cc
+++ b/test/soak/main.cc
@@ -4,7 +4,7 @@
 //
 //   soak --programs build --work /tmp/soak --seed 7 --seconds 60
 #include "callers.h"
-#include "faults.h"
+#include "fault-injector.h"
 
 #include "drumlanding/base/settings.h"
 #include "drumlanding/daemon/sleep.h"
@@ -37,12 +37,12 @@
 constexpr std::string_view Flags[] = {"seed",     "seconds",  "programs",
                                       "work",     "gateways", "engines",
                                       "services", "callers",  "base_port"};
-constexpr milliseconds EndLimit{12'000};
+constexpr milliseconds ShutdownTimeout{12'000};
 /// With less than this part served, the run has shown nothing.
-constexpr double LeastWhole = 0.3;
+constexpr double MinCompletedRatio = 0.3;
 /// Addresses 127.0.GROUP.n tell the machines apart.
-constexpr int GatewayGroup = 2;
-constexpr int ServerGroup = 1;
+constexpr int GatewaySubnet = 2;
+constexpr int ServerSubnet = 1;
 
 /// Ports, the same on all machines, from the first one.
 enum Port {
@@ -59,8 +59,8 @@
   return static_cast<std::uint16_t>(FLAGS_base_port + p);
 }
 
-base::Endpoint at(int group, int n, Port p) {
-  return {fmt::format("127.0.{}.{}", group, n), port(p)};
+base::Endpoint endpoint(int subnet, int n, Port p) {
+  return {fmt::format("127.0.{}.{}", subnet, n), port(p)};
 }
 
 std::string zoneOf(int n) { return n % 2 == 0 ? "hall-a" : "hall-b"; }
@@ -71,78 +71,83 @@
 
 class Soak {
 public:
-  Soak() : Store(storeAt()), Plans(Log, Store) {}
+  Soak() : Store(storeEndpoint()), Configs(Log, Store) {}
 
   int run() {
     startStore();
-    startWorkers();
+    startServers();
     for (int n = 1; n <= FLAGS_gateways; ++n)
       startGateway(n);
     for (int n = 1; n <= FLAGS_engines; ++n)
       startSidecar(n);
-    All.Programs.OnSurprise = [this](const Program &program, int status) {
-      Log.broken("no process ends by itself",
-                 fmt::format("{} status {}", program.Name, status));
+    System.Programs.OnUnexpectedExit = [this](const Program &program,
+                                              int status) {
+      Log.recordViolation("no process ends by itself",
+                          fmt::format("{} status {}", program.Name, status));
     };
     Log.ServerAt = [this](const std::string &address) {
       return serverAt(address);
     };
-    asio::co_spawn(Io, All.Programs.keepRunning(), asio::detached);
-    asio::co_spawn(Io, All.Fleet.watchReadiness(), asio::detached);
-    asio::co_spawn(Io, play(), [](std::exception_ptr e) {
+    asio::co_spawn(Io, System.Programs.supervise(), asio::detached);
+    asio::co_spawn(Io, System.Gateways.probeReadiness(), asio::detached);
+    asio::co_spawn(Io, runScenario(), [](std::exception_ptr e) {
       if (e)
         std::rethrow_exception(e);
     });
     Io.run();
-    All.Programs.endAll();
-    return judge();
+    System.Programs.killAll();
+    return reportResult();
   }
 
 private:
-  static base::Endpoint storeAt() { return {"127.0.0.1", port(StorePort)}; }
+  static base::Endpoint storeEndpoint() {
+    return {"127.0.0.1", port(StorePort)};
+  }
   static std::string programFile(const char *name) {
     return FLAGS_programs + "/" + name;
   }
 
   void startStore() {
-    All.Store = storeAt();
-    All.Programs.add("store",
-                     {programFile("fake-platform"), "--listen",
-                      base::toString(storeAt()), "--writes_per_second", "400"},
-                     logFile("store"));
+    System.Store = storeEndpoint();
+    System.Programs.add("store",
+                        {programFile("fake-platform"), "--listen",
+                         base::toString(storeEndpoint()), "--writes_per_second",
+                         "400"},
+                        logFile("store"));
   }
 
-  void startWorkers() {
+  void startServers() {
     for (int n = 1; n <= FLAGS_engines + FLAGS_services; ++n) {
       const bool isEngine = n <= FLAGS_engines;
-      Worker::Place place{isEngine ? "llm" : "shop", zoneOf(n),
-                          at(ServerGroup, n, PublicPort),
-                          at(ServerGroup, n, PrivatePort), isEngine};
-      All.Workers.push_back(std::make_unique<Worker>(
-          Io, Log, TheCopies, Store, std::move(place),
+      FakeServer::Options options{isEngine ? "llm" : "shop", zoneOf(n),
+                                  endpoint(ServerSubnet, n, PublicPort),
+                                  endpoint(ServerSubnet, n, PrivatePort),
+                                  isEngine};
+      System.Servers.push_back(std::make_unique<FakeServer>(
+          Io, Log, SharedCopies, Store, std::move(options),
           FLAGS_seed * 1'000 + static_cast<std::uint64_t>(n)));
-      All.Workers.back()->begin();
+      System.Servers.back()->start();
     }
   }
 
   std::string seeds() const {
     std::string text;
     for (int n = 1; n <= std::min(FLAGS_gateways, 3); ++n)
-      text +=
-          (n > 1 ? "," : "") + base::toString(at(GatewayGroup, n, ControlPort));
+      text += (n > 1 ? "," : "") +
+              base::toString(endpoint(GatewaySubnet, n, ControlPort));
     return text;
   }
 
   void startGateway(int n) {
     auto gateway = std::make_unique<Gateway>();
-    gateway->Public = at(GatewayGroup, n, PublicPort);
-    gateway->Ready = at(GatewayGroup, n, ReadyPort);
-    const base::Endpoint listen = at(GatewayGroup, n, PrivatePort);
-    const base::Endpoint store = at(GatewayGroup, n, StoreLinkPort);
+    gateway->Public = endpoint(GatewaySubnet, n, PublicPort);
+    gateway->Ready = endpoint(GatewaySubnet, n, ReadyPort);
+    const base::Endpoint listen = endpoint(GatewaySubnet, n, PrivatePort);
+    const base::Endpoint store = endpoint(GatewaySubnet, n, StoreLinkPort);
     auto callerLink = Proxy::start(Io, gateway->Public, listen);
-    auto storeLink = Proxy::start(Io, store, storeAt());
+    auto storeLink = Proxy::start(Io, store, storeEndpoint());
     if (!ok(callerLink) || !ok(storeLink)) {
-      Log.broken("soak", "a port is taken");
+      Log.recordViolation("soak", "a port is taken");
       return;
     }
     gateway->CallerLink = std::move(value(callerLink));
@@ -156,62 +161,64 @@
         "500\n--grace_s=8\n",
         name, zoneOf(n), zoneOf(n), base::toString(listen),
         base::toString(gateway->Ready),
-        base::toString(at(GatewayGroup, n, ControlPort)), base::toString(store),
-        seeds(), port(SidecarPort));
+        base::toString(endpoint(GatewaySubnet, n, ControlPort)),
+        base::toString(store), seeds(), port(SidecarPort));
     gateway->Process =
-        &All.Programs.add(name,
-                          {programFile("drumlanding-gateway"),
-                           "--node_file=" + gateway->SettingsFile},
-                          logFile(name));
-    All.Fleet.All.push_back(std::move(gateway));
+        &System.Programs.add(name,
+                             {programFile("drumlanding-gateway"),
+                              "--node_file=" + gateway->SettingsFile},
+                             logFile(name));
+    System.Gateways.Members.push_back(std::move(gateway));
   }
 
   void startSidecar(int n) {
     const std::string name = fmt::format("sidecar-{}", n);
-    All.Sidecars.push_back(&All.Programs.add(
+    System.Sidecars.push_back(&System.Programs.add(
         name,
         {programFile("drumlanding-sidecar"), "--name=" + name,
          "--place=" + zoneOf(n), "--failure_domain=" + zoneOf(n),
-         "--sidecar_listen=" + base::toString(at(ServerGroup, n, SidecarPort)),
-         "--engine=" + base::toString(at(ServerGroup, n, PublicPort)),
+         "--sidecar_listen=" +
+             base::toString(endpoint(ServerSubnet, n, SidecarPort)),
+         "--engine=" + base::toString(endpoint(ServerSubnet, n, PublicPort)),
          "--service=llm", "--seeds=" + seeds()},
         logFile(name)));
   }
 
   std::string serverAt(const std::string &address) const {
-    for (const auto &worker : All.Workers)
-      if (worker->isUp() && base::toString(worker->place().Public) == address)
-        return worker->id();
+    for (const auto &server : System.Servers)
+      if (server->isUp() && base::toString(server->options().Public) == address)
+        return server->id();
     return {};
   }
 
-  asio::awaitable<void> play() {
-    const auto length =
+  asio::awaitable<void> runScenario() {
+    const auto duration =
         milliseconds(static_cast<std::int64_t>(FLAGS_seconds * 1'000));
-    Faults faults(Io, Log, All, Plans, FLAGS_seed);
-    Callers callers(Io, Log, Plans, All.Fleet, FLAGS_seed + 1);
-    callers.begin(FLAGS_callers);
-    co_await faults.run(Journal::now() + length);
+    FaultInjector faults(Io, Log, System, Configs, FLAGS_seed);
+    Callers callers(Io, Log, Configs, System.Gateways, FLAGS_seed + 1);
+    callers.start(FLAGS_callers);
+    co_await faults.run(Journal::now() + duration);
     callers.stop();
-    const base::Instant limit = Journal::now() + EndLimit;
-    while (callers.open() > 0 && Journal::now() < limit)
+    const base::Instant deadline = Journal::now() + ShutdownTimeout;
+    while (callers.active() > 0 && Journal::now() < deadline)
       co_await sleepFor(milliseconds(20));
-    if (callers.open() > 0)
-      Log.broken("every request gets a final answer in time",
-                 fmt::format("{} callers wait", callers.open()));
+    if (callers.active() > 0)
+      Log.recordViolation("every request gets a final answer in time",
+                          fmt::format("{} callers wait", callers.active()));
     Counts = callers.counts();
     Io.stop();
   }
 
-  int judge() {
-    if (Counts.Whole < LeastWhole * Counts.Sent)
-      Log.broken("requests are served",
-                 fmt::format("{} of {}", Counts.Whole, Counts.Sent));
+  int reportResult() {
+    if (Counts.Completed < MinCompletedRatio * Counts.Sent)
+      Log.recordViolation(
+          "requests are served",
+          fmt::format("{} of {}", Counts.Completed, Counts.Sent));
     std::printf("soak: seed=%llu requests=%d whole=%d refused=%d failed=%d "
                 "broken=%d faults=%zu violations=%zu\n",
                 static_cast<unsigned long long>(FLAGS_seed), Counts.Sent,
-                Counts.Whole, Counts.Refused, Counts.Failed, Counts.Broken,
-                Log.faults(), Log.violations());
+                Counts.Completed, Counts.Refused, Counts.Failed,
+                Counts.Truncated, Log.faults(), Log.violations());
     std::fflush(stdout);
     return Log.violations() == 0 ? 0 : 1;
   }
@@ -219,9 +226,9 @@
   asio::io_context Io{1};
   Journal Log;
   platform::Store Store;
-  Copies TheCopies;
-  Operators Plans;
-  Deployment All;
+  CopyTable SharedCopies;
+  ConfigWriter Configs;
+  Deployment System;
   CallerCounts Counts;
 };
 
@@ -230,10 +237,10 @@
 
 int main(int argc, char **argv) {
   using namespace drumlanding;
-  const auto words = base::readSettings(
+  const auto arguments = base::readSettings(
       argc, argv, "soak: strikes the real programs with faults", soak::Flags);
-  if (!ok(words))
-    base::exitOnBadSettings(error(words));
+  if (!ok(arguments))
+    base::exitOnBadSettings(error(arguments));
   if (FLAGS_work.empty())
     FLAGS_work = std::filesystem::temp_directory_path() / "drumlanding-soak";
   std::filesystem::create_directories(FLAGS_work);
--- /dev/null
+++ b/test/soak/process-supervisor.cc
@@ -0,0 +1,105 @@
+#include "process-supervisor.h"
+
+#include "drumlanding/daemon/sleep.h"
+
+#include <csignal>
+#include <fcntl.h>
+#include <spawn.h>
+#include <sys/wait.h>
+
+extern char **environ;
+
+namespace drumlanding::soak {
+namespace {
+
+constexpr base::milliseconds PollInterval{20};
+/// An ended program stays down for this long.
+constexpr base::milliseconds RestartDelay{300};
+
+/// How our programs end when their settings are wrong.
+constexpr int SettingsErrorExitCode = 2;
+
+base::Instant now() { return base::SystemClock().now().Steady; }
+
+} // namespace
+
+Program &ProcessSupervisor::add(std::string name,
+                                std::vector<std::string> arguments,
+                                std::string logFile) {
+  auto program = std::make_unique<Program>();
+  program->Name = std::move(name);
+  program->Arguments = std::move(arguments);
+  program->LogFile = std::move(logFile);
+  Programs.push_back(std::move(program));
+  start(*Programs.back());
+  return *Programs.back();
+}
+
+void ProcessSupervisor::start(Program &program) {
+  posix_spawn_file_actions_t actions;
+  posix_spawn_file_actions_init(&actions);
+  constexpr int AppendFlags = O_WRONLY | O_CREAT | O_APPEND;
+  posix_spawn_file_actions_addopen(&actions, 1, program.LogFile.c_str(),
+                                   AppendFlags, 0644);
+  posix_spawn_file_actions_adddup2(&actions, 1, 2);
+  // A connection that the soak closes must not live on in what it has started.
+  constexpr int FirstNonStandardDescriptor = 3;
+  posix_spawn_file_actions_addclosefrom_np(&actions,
+                                           FirstNonStandardDescriptor);
+  std::vector<char *> arguments;
+  for (std::string &word : program.Arguments)
+    arguments.push_back(word.data());
+  arguments.push_back(nullptr);
+  if (posix_spawn(&program.Pid, arguments[0], &actions, nullptr,
+                  arguments.data(), environ) != 0)
+    program.Pid = 0;
+  posix_spawn_file_actions_destroy(&actions);
+  ++program.InstanceNumber;
+  program.StartedAt = now();
+  program.IsExitExpected = false;
+  program.IsPaused = false;
+}
+
+bool ProcessSupervisor::reap(Program &program) {
+  int status = 0;
+  if (program.Pid == 0 || waitpid(program.Pid, &status, WNOHANG) == 0)
+    return false;
+  program.Pid = 0;
+  const bool isSettingsError = program.HasBadSettings && WIFEXITED(status) &&
+                               WEXITSTATUS(status) == SettingsErrorExitCode;
+  if (!program.IsExitExpected && !isSettingsError && OnUnexpectedExit)
+    OnUnexpectedExit(program, status);
+  return true;
+}
+
+asio::awaitable<void> ProcessSupervisor::supervise() {
+  while (!IsStopping) {
+    for (const auto &program : Programs) {
+      if (reap(*program))
+        program->StartedAt = now();
+      if (program->Pid == 0 && now() - program->StartedAt > RestartDelay)
+        start(*program);
+    }
+    co_await daemon::sleepFor(PollInterval);
+  }
+}
+
+void ProcessSupervisor::signal(Program &program, int signalNumber) {
+  if (program.Pid == 0)
+    return;
+  program.IsExitExpected |= signalNumber == SIGTERM || signalNumber == SIGKILL;
+  if (signalNumber == SIGSTOP || signalNumber == SIGCONT)
+    program.IsPaused = signalNumber == SIGSTOP;
+  ::kill(program.Pid, signalNumber);
+}
+
+void ProcessSupervisor::killAll() {
+  IsStopping = true;
+  for (const auto &program : Programs)
+    signal(*program, SIGKILL);
+  for (const auto &program : Programs)
+    if (program->Pid != 0)
+      waitpid(program->Pid, nullptr, 0);
+}
+
+} // namespace drumlanding::soak
--- a/test/soak/proxy.cc
+++ b/test/soak/proxy.cc
@@ -16,9 +16,9 @@
 using boost::system::error_code;
 using daemon::sleepFor;
 
-constexpr std::size_t PieceBytes = 16 << 10;
+constexpr std::size_t BufferBytes = 16 << 10;
 /// How often a held-up piece looks whether it may go on.
-constexpr base::milliseconds HoldStep{5};
+constexpr base::milliseconds StallPollInterval{5};
 
 tcp::endpoint toTcp(const base::Endpoint &e) {
   return {asio::ip::make_address(e.Address), e.Port};
@@ -37,13 +37,13 @@
                                                   base::Endpoint listen,
                                                   base::Endpoint target) {
   std::unique_ptr<Proxy> proxy(new Proxy(io, std::move(target)));
-  const tcp::endpoint at = toTcp(listen);
+  const tcp::endpoint endpoint = toTcp(listen);
   error_code ec;
-  proxy->Acceptor.open(at.protocol(), ec);
+  proxy->Acceptor.open(endpoint.protocol(), ec);
   if (!ec)
     proxy->Acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
   if (!ec)
-    proxy->Acceptor.bind(at, ec);
+    proxy->Acceptor.bind(endpoint, ec);
   if (!ec)
     proxy->Acceptor.listen(asio::socket_base::max_listen_connections, ec);
   if (ec)
@@ -61,16 +61,16 @@
     }
 }
 
-void Proxy::silenceOpen() {
+void Proxy::blackholeOpenConnections() {
   for (const std::weak_ptr<Link> &weak : Links)
     if (const LinkPointer link = weak.lock())
-      link->IsSilent = true;
+      link->IsBlackholed = true;
 }
 
-bool Proxy::isHeldUp(bool isToServer) const {
-  return Fault == LinkFault::Silent ||
-         Fault ==
-             (isToServer ? LinkFault::CutToServer : LinkFault::CutToClient);
+bool Proxy::isStalled(bool isToServer) const {
+  return Fault == LinkFault::Stalled ||
+         Fault == (isToServer ? LinkFault::StalledToServer
+                              : LinkFault::StalledToClient);
 }
 
 asio::awaitable<void> Proxy::accept() {
@@ -94,8 +94,8 @@
 }
 
 asio::awaitable<void> Proxy::connect(LinkPointer link) {
-  while (isHeldUp(true))
-    co_await sleepFor(HoldStep);
+  while (isStalled(true))
+    co_await sleepFor(StallPollInterval);
   error_code ec;
   co_await link->Server.async_connect(
       toTcp(Target), asio::redirect_error(asio::use_awaitable, ec));
@@ -105,21 +105,21 @@
   }
   link->Client.set_option(tcp::no_delay(true), ec);
   link->Server.set_option(tcp::no_delay(true), ec);
-  asio::co_spawn(Io, pump(link, true), asio::detached);
-  asio::co_spawn(Io, pump(link, false), asio::detached);
+  asio::co_spawn(Io, forward(link, true), asio::detached);
+  asio::co_spawn(Io, forward(link, false), asio::detached);
 }
 
-asio::awaitable<void> Proxy::pump(LinkPointer link, bool isToServer) {
+asio::awaitable<void> Proxy::forward(LinkPointer link, bool isToServer) {
   Socket &from = isToServer ? link->Client : link->Server;
   Socket &to = isToServer ? link->Server : link->Client;
-  std::array<char, PieceBytes> buf;
+  std::array<char, BufferBytes> buf;
   for (;;) {
     error_code ec;
     const std::size_t n = co_await from.async_read_some(
         asio::buffer(buf), asio::redirect_error(asio::use_awaitable, ec));
-    while (isHeldUp(isToServer))
-      co_await sleepFor(HoldStep);
-    if (link->IsSilent && !ec)
+    while (isStalled(isToServer))
+      co_await sleepFor(StallPollInterval);
+    if (link->IsBlackholed && !ec)
       continue;
     if (Fault == LinkFault::Delayed)
       co_await sleepFor(Delay);
--- a/test/soak/proxy.h
+++ b/test/soak/proxy.h
@@ -22,11 +22,11 @@
 
 enum class LinkFault {
   None,
-  Delayed,     ///< Each piece takes longer by `Delay`.
-  Silent,      ///< Bytes are held up both ways, and come after it.
-  CutToServer, ///< Only what clients send is held up.
-  CutToClient, ///< Only what servers send is held up.
-  Refused,     ///< New connections are reset.
+  Delayed,         ///< Each piece takes longer by `Delay`.
+  Stalled,         ///< Bytes are held up both ways, and come after it.
+  StalledToServer, ///< Only what clients send is held up.
+  StalledToClient, ///< Only what servers send is held up.
+  Refused,         ///< New connections are reset.
 };
 
 class Proxy {
@@ -36,11 +36,11 @@
   static base::Result<std::unique_ptr<Proxy>>
   start(asio::io_context &io, base::Endpoint listen, base::Endpoint target);
 
-  void set(LinkFault fault) { Fault = fault; }
+  void setFault(LinkFault fault) { Fault = fault; }
   /// Resets all connections that are open now.
   void resetAll();
   /// Connections that are open now never carry anything again; new ones do.
-  void silenceOpen();
+  void blackholeOpenConnections();
 
 private:
   using Socket = asio::ip::tcp::socket;
@@ -48,7 +48,7 @@
     explicit Link(asio::io_context &io) : Client(io), Server(io) {}
     Socket Client;
     Socket Server;
-    bool IsSilent = false;
+    bool IsBlackholed = false;
   };
   using LinkPointer = std::shared_ptr<Link>;
 
@@ -56,8 +56,8 @@
       : Io(io), Target(std::move(target)), Acceptor(io) {}
   asio::awaitable<void> accept();
   asio::awaitable<void> connect(LinkPointer link);
-  asio::awaitable<void> pump(LinkPointer link, bool isToServer);
-  bool isHeldUp(bool isToServer) const;
+  asio::awaitable<void> forward(LinkPointer link, bool isToServer);
+  bool isStalled(bool isToServer) const;
 
   asio::io_context &Io;
   base::Endpoint Target;
