--- a/test/soak/callers.cc
+++ b/test/soak/callers.cc
@@ -14,10 +14,10 @@
 using daemon::sleepFor;
 
 constexpr milliseconds ConnectTimeout{1'000};
-/// A final answer may come this long after the route's time.
+/// A complete response may arrive this long after the route's timeout.
 constexpr milliseconds ResponseSlack{1'500};
 constexpr milliseconds MaxPause{60};
-/// A config is in force everywhere within this time.
+/// A config takes effect on every gateway within this time.
 constexpr milliseconds ConfigPropagationTime{2'000};
 constexpr int MaxShortStreamEvents = 60;
 constexpr int MaxLongStreamEvents = 600;
@@ -74,7 +74,7 @@
   }
   record.Path = kind < 0.6 ? "/once/x" : "/often/x";
   if (kind > 0.8 && Configs.serial() > 2) {
-    // The newest key, the one before, or one that was taken away.
+    // The newest key, the previous one, or one that the newest config removed.
     record.KeySerial = Configs.serial() - static_cast<int>(Random.below(3));
     record.Key = ConfigWriter::keyForSerial(record.KeySerial);
   }
@@ -176,7 +176,8 @@
                         describe(record) + " got " + record.Body);
 }
 
-/// Each event once, in order, all of one generation; complete only when whole.
+/// Checks that each event arrives once, in order and from one generation, and
+/// that a truncated stream does not look complete.
 void Callers::checkStream(const RequestRecord &record) {
   const int eventCount =
       std::stoi(record.Path.substr(record.Path.rfind('/') + 1));
@@ -209,7 +210,8 @@
                                     next, eventCount));
 }
 
-/// Keys of configs: in force in time, and never backwards in a gateway's life.
+/// Checks that a config takes effect in time, and that a gateway instance never
+/// returns to an older config.
 void Callers::checkKeys(const RequestRecord &record) {
   if (record.Status == StatusUnauthorised && record.KeySerial == 0)
     Log.recordViolation("a key that every config has is accepted",
@@ -234,8 +236,8 @@
       record.SentAt > gateway.RefusedAt)
     Log.recordViolation("a config never goes back",
                         describe(record) + " key " + record.Key);
-  // Without an accepted one before, a refused key may be too new for the
-  // gateway's config.
+  // A refused key counts as removed only if the same or a newer key was
+  // accepted before; otherwise it may be newer than the gateway's config.
   const bool isRemoved = record.KeySerial <= gateway.AcceptedKey &&
                          record.SentAt > gateway.AcceptedAt;
   const bool isOutdated = record.KeySerial < Configs.serial() - 1;
@@ -255,8 +257,8 @@
                         describe(record) + " key " + record.Key);
 }
 
-/// How a request may end when nothing but planned work goes on, and when
-/// nothing at all does.
+/// Checks how a failed request ended if only planned work was in progress: no
+/// late or truncated responses; and without planned work no failures at all.
 void Callers::checkOutcome(const RequestRecord &record) {
   if (record.Status == StatusOk && record.IsComplete)
     return;
--- a/test/soak/callers.h
+++ b/test/soak/callers.h
@@ -1,5 +1,5 @@
-/// Callers: send requests of every kind on connections that they keep, and
-/// check what they are told against the promises.
+/// Callers: send requests of every kind over keep-alive connections, and check
+/// the responses against the documented promises.
 #pragma once
 
 #include "config-writer.h"
@@ -23,7 +23,7 @@
   int Truncated = 0;
 };
 
-/// A request and what its caller has seen of the answer.
+/// A request and what its caller received of the response.
 struct RequestRecord {
   std::string Attempt;
   std::string Path;
@@ -34,12 +34,13 @@
   int InstanceNumber = 0;
   base::Instant SentAt{};
   base::Instant EndedAt{};
-  /// 0: the connection closed before a head came.
+  /// 0 if the connection closed before a response head arrived.
   int Status = 0;
   http::ResponseHead Head;
   std::string Body;
   bool IsComplete = false;
-  /// No final answer within the route's time and some more.
+  /// True if no complete response arrived within the route's timeout and some
+  /// slack.
   bool IsTimedOut = false;
 };
 
@@ -51,7 +52,7 @@
         Random(seed) {}
 
   void start(int callers);
-  /// Callers end after their current request.
+  /// Makes each caller stop after its current request.
   void stop() { IsStopping = true; }
   const CallerCounts &counts() const { return Counts; }
   int active() const { return ActiveCallers; }
--- a/test/soak/config-writer.cc
+++ b/test/soak/config-writer.cc
@@ -54,7 +54,7 @@
   for (;;) {
     const auto item = co_await Store.read(ConfigKey);
     if (ok(item) && value(item).Value == configText())
-      break; // an answer was lost
+      break; // an earlier write succeeded, but its response was lost
     if (ok(item)) {
       const auto swap = co_await Store.compareAndSwap(
           ConfigKey, value(item).Revision, configText());
--- a/test/soak/config-writer.h
+++ b/test/soak/config-writer.h
@@ -1,5 +1,6 @@
-/// Operators: write configs into the store. Each version has three keys: one
-/// that every version has, its own, and that of the version before.
+/// ConfigWriter: writes configs into the store as operators do. Each version
+/// has three API keys: one common to all versions, its own, and the previous
+/// one's.
 #pragma once
 
 #include "journal.h"
@@ -15,14 +16,14 @@
 
 class ConfigWriter {
 public:
-  /// How long requests may be held, as the routes say.
+  /// The request timeout of all routes.
   static constexpr base::milliseconds Timeout{6'000};
   static constexpr std::string_view Host = "a.example";
 
   ConfigWriter(Journal &journal, const platform::Store &store)
       : Log(journal), Store(store) {}
 
-  /// Writes the next version and returns when the store has it.
+  /// Writes the next version; returns once the store has accepted it.
   asio::awaitable<void> writeNext();
 
   int serial() const { return Serial; }
@@ -39,7 +40,7 @@
   const platform::Store &Store;
   int Serial = 0;
   std::uint64_t Version = 0;
-  /// When the store had the newest version.
+  /// Time at which the store accepted the newest version; `max()` before that.
   base::Instant WrittenAt = base::Instant::max();
 };
 
--- a/test/soak/fake-servers.cc
+++ b/test/soak/fake-servers.cc
@@ -16,22 +16,22 @@
 using Json = nlohmann::json;
 
 constexpr milliseconds HeartbeatInterval{500};
-/// An entry goes after three silent beats.
+/// An entry expires after three missed heartbeats.
 constexpr milliseconds EntryTtl{1'500};
 constexpr milliseconds EventInterval{8};
 constexpr milliseconds CallDuration{40};
 constexpr milliseconds CopyDuration{40};
-/// A server whose entry was taken away serves on for a little.
+/// With this many requests open, a server refuses further ones.
 constexpr int MaxOpenRequests = 40;
 constexpr int NotFound = 404;
-/// Part of the requests that a worker in a bad mood spoils.
+/// Fraction of the requests that a fault mode affects.
 constexpr double FaultProbability = 0.5;
 
 Json parse(const std::string &text) {
   return Json::parse(text, nullptr, false);
 }
 
-/// Reads the number behind the last slash of a path.
+/// Returns the number after the last slash of a path.
 int trailingNumber(std::string_view path) {
   const std::string_view digits = path.substr(path.rfind('/') + 1);
   int n = 0;
@@ -106,7 +106,8 @@
                                                   entry.dump(), Lease);
   if (instance != InstanceNumber || !ok(swap))
     co_return false;
-  // An answer that was lost: the next beat goes on from what is there.
+  // If the response to an earlier write was lost, the swap fails and the next
+  // heartbeat continues from the stored revision.
   Revision = value(swap).Current.Revision;
   co_return value(swap).Swapped;
 }
@@ -246,7 +247,8 @@
   co_await x.send(std::move(response));
 }
 
-/// Takes up a copy that "IP:port/handle" names; false when there is none here.
+/// Resumes from the copy that `from` ("IP:port/handle") names; returns false if
+/// this engine does not have it.
 bool FakeServer::resumeFromCopy(const std::string &from,
                                 const std::string &attempt,
                                 Generation &generation) {
@@ -280,7 +282,7 @@
   }
   if (Mode == FaultMode::DropsRequests && Random.chance(FaultProbability))
     co_return;
-  // What the caller has received decides where a moved stream goes on.
+  // A migrated stream resumes after the last event that the caller received.
   if (const std::string lastEventId(request.header("Last-Event-Id"));
       !from.empty() && !lastEventId.empty())
     generation->NextEvent = std::stoi(lastEventId) + 1;
--- a/test/soak/fake-servers.h
+++ b/test/soak/fake-servers.h
@@ -1,6 +1,6 @@
-/// Workers: stand-in backend servers that speak the platform's dialect: engines
-/// that stream and move generations, and plain services. Each lists itself in
-/// the store, behind a proxy of its own.
+/// FakeServer: a fake backend server that speaks the platform's protocol: an
+/// engine that streams and migrates generations, or a plain service. Each
+/// writes its own entry into the store and is reached through its own proxy.
 #pragma once
 
 #include "journal.h"
@@ -18,25 +18,25 @@
 
 namespace drumlanding::soak {
 
-/// How a worker behaves to requests. Its health answer stays good.
+/// How a server misbehaves on requests. Its health check is not affected.
 enum class FaultMode {
   None,
-  Errors,             ///< Half of its answers are failures of its own.
-  TruncatesResponses, ///< Half of its answers break off midway.
-  DropsRequests,      ///< It runs half of the requests and never answers them.
-  Overloaded,         ///< It takes nothing and says so.
+  Errors, ///< A plain service answers half of the requests with 500.
+  TruncatesResponses, ///< Closes half of the responses before their end.
+  DropsRequests,      ///< Runs half of the requests but sends no response.
+  Overloaded,         ///< Refuses every request as not run, with 503.
 };
 
-/// A generation's memory, at an engine or copied to another.
+/// A copy of a generation's KV cache, on its engine or also on another one.
 struct Copy {
   std::string Attempt;
   std::string Generation;
   int NextEvent = 0;
-  /// The engines where it may go on.
+  /// Ids of the engines that can resume the generation.
   std::vector<std::string> Engines;
 };
 
-/// What the engines share: copies by handle.
+/// Copies by handle, shared by all engines.
 using CopyTable = std::map<std::string, Copy>;
 
 /// A run of a generation that is being streamed.
@@ -51,8 +51,9 @@
   struct Options {
     std::string Service;
     std::string Zone;
-    /// What the gateways see, and where the worker listens behind it.
+    /// The proxy's address, listed in the store.
     base::Endpoint Public;
+    /// Where the server listens behind the proxy.
     base::Endpoint Private;
     bool IsEngine = false;
   };
@@ -60,15 +61,17 @@
   FakeServer(asio::io_context &io, Journal &journal, CopyTable &copies,
              const platform::Store &store, Options options, std::uint64_t seed);
 
-  /// Listens, and lists itself until the end.
+  /// Starts to listen and to renew the entry in the store.
   void start();
-  /// Says that it leaves; it is gone after `notice` and comes back as another.
+  /// Announces that the server leaves; after `notice` it shuts down and
+  /// restarts as a new instance.
   asio::awaitable<void> leave(base::milliseconds notice);
-  /// Dies at once, breaking off what it does, and comes back as another, or
-  /// under its id.
+  /// Resets all connections at once; after `downFor` the server restarts as a
+  /// new instance, under a new id or the same one.
   asio::awaitable<void> crash(base::milliseconds downFor);
 
-  /// Writes an entry beside the servers' that names none, for a while.
+  /// Writes a malformed entry next to those of the servers, as another program
+  /// might; it expires with its lease.
   asio::awaitable<void> writeForeignEntry();
 
   FaultMode Mode = FaultMode::None;
@@ -77,7 +80,7 @@
   const Options &options() const { return Opts; }
   bool isUp() const { return IsUp; }
   bool isLeaving() const { return IsLeaving; }
-  /// When the store had taken that it leaves; none while it does not.
+  /// Time at which the store accepted that the server leaves; `max()` before.
   base::Instant LeavingSince = base::Instant::max();
 
 private:
@@ -103,7 +106,7 @@
   base::Random Random;
   std::string Id;
   std::int64_t StartedAtMs = 0;
-  /// Rises with each life: what an earlier life does ends.
+  /// Incremented by each crash; coroutines of earlier instances then stop.
   int InstanceNumber = 0;
   bool IsUp = true;
   bool IsLeaving = false;
@@ -112,7 +115,7 @@
   std::map<std::string, std::shared_ptr<Generation>> Running;
   std::unique_ptr<http::Server> Listener;
   std::unique_ptr<Proxy> Link;
-  /// The entry's revision in the store, and the lease that it hangs on.
+  /// The entry's revision in the store, and the lease it is attached to.
   std::uint64_t Revision = 0;
   std::uint64_t Lease = 0;
   int SequenceNumber = 0;
--- a/test/soak/fault-injector.cc
+++ b/test/soak/fault-injector.cc
@@ -18,10 +18,11 @@
 
 constexpr milliseconds FaultPhaseDuration{8'000};
 constexpr milliseconds PlannedPhaseDuration{8'000};
-/// Long enough for what is avoided, forgotten and read again after trouble.
+/// Long enough for ejections and stale entries to expire and for the store to
+/// be read again after a fault.
 constexpr milliseconds QuietPhaseDuration{6'500};
 constexpr milliseconds PollInterval{20};
-/// A gateway that was struck is ready again within this time.
+/// A gateway is ready again within this time after a fault.
 constexpr milliseconds ReadyTimeout{6'000};
 constexpr milliseconds ServerRegistrationTime{1'000};
 constexpr milliseconds SettingsErrorExitTime{300};
@@ -32,7 +33,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// Replaces a file in one step, so that nobody reads half of it.
+/// Replaces a file atomically, so that a reader never sees a partial file.
 void replaceFile(const std::string &name, const std::string &text) {
   const std::string newFile = name + ".new";
   std::ofstream(newFile) << text;
@@ -47,7 +48,8 @@
     : Io(io), Log(journal), System(deployment), Configs(configs), Random(seed) {
   constexpr bool Planned = true;
   constexpr bool Unplanned = false;
-  // What servers do to requests is drawn most: there the promises are at stake.
+  // Faults of backend servers are drawn most often, since most promises concern
+  // how requests end on them.
   constexpr int HighWeight = 3;
   FaultKinds = {
       {"kill a gateway", Unplanned, 1,
@@ -56,21 +58,21 @@
        [](FaultInjector &f) { return f.pauseGateway(); }},
       {"kill all gateways", Unplanned, 1,
        [](FaultInjector &f) { return f.killAllGateways(); }},
-      {"strike a sidecar", Unplanned, 1,
+      {"kill or pause a sidecar", Unplanned, 1,
        [](FaultInjector &f) { return f.injectSidecarFault(); }},
       {"store down", Unplanned, 1,
        [](FaultInjector &f) { return f.injectStoreFault("down=1"); }},
       {"store slow", Unplanned, 1,
        [](FaultInjector &f) { return f.injectStoreFault("delay_ms=300"); }},
-      {"store loses answers", Unplanned, 1,
+      {"store loses responses", Unplanned, 1,
        [](FaultInjector &f) { return f.injectStoreFault("lose=5"); }},
-      {"link to the store", Unplanned, 1,
+      {"fault on a link to the store", Unplanned, 1,
        [](FaultInjector &f) {
          return f.injectLinkFault(*f.randomGateway().StoreLink);
        }},
-      {"silence connections to the store", Unplanned, 1,
+      {"blackhole connections to the store", Unplanned, 1,
        [](FaultInjector &f) { return f.blackholeStoreConnections(); }},
-      {"link to callers", Unplanned, 1,
+      {"fault on a link to callers", Unplanned, 1,
        [](FaultInjector &f) {
          return f.injectLinkFault(*f.randomGateway().CallerLink);
        }},
@@ -78,7 +80,7 @@
        [](FaultInjector &f) {
          return f.resetConnections(*f.randomGateway().CallerLink);
        }},
-      {"link to a server", Unplanned, HighWeight,
+      {"fault on a link to a server", Unplanned, HighWeight,
        [](FaultInjector &f) {
          return f.injectLinkFault(f.randomServer().link());
        }},
@@ -88,21 +90,21 @@
        }},
       {"crash a server", Unplanned, HighWeight,
        [](FaultInjector &f) { return f.crashServer(); }},
-      {"worsen a server", Unplanned, HighWeight,
+      {"degrade a server", Unplanned, HighWeight,
        [](FaultInjector &f) { return f.degradeServer(); }},
-      {"stop a gateway", Planned, 1,
+      {"restart a gateway", Planned, 1,
        [](FaultInjector &f) { return f.restartGateway(); }},
-      {"hang up on a gateway", Planned, 1,
+      {"reload a gateway's settings", Planned, 1,
        [](FaultInjector &f) { return f.reloadGateway(); }},
-      {"empty a server", Planned, 1,
+      {"drain a server", Planned, 1,
        [](FaultInjector &f) { return f.drainServer(); }},
-      {"entry of another writer", Planned, 1,
+      {"write a malformed entry", Planned, 1,
        [](FaultInjector &f) {
          return f.System.Servers.front()->writeForeignEntry();
        }},
       {"change the config", Planned, 1,
        [](FaultInjector &f) { return f.changeConfig(); }},
-      {"change the config often", Planned, 1,
+      {"change the config repeatedly", Planned, 1,
        [](FaultInjector &f) { return f.changeConfigRepeatedly(); }}};
 }
 
@@ -125,7 +127,7 @@
   co_await Configs.writeNext();
   for (const auto &gateway : System.Gateways.Members)
     co_await waitUntilReady(*gateway);
-  // The servers have listed themselves by then.
+  // By then the servers have written their entries into the store.
   co_await sleepFor(ServerRegistrationTime);
   Log.endFault(startup);
   co_await runQuietPhase(QuietPhaseDuration);
@@ -139,11 +141,11 @@
 
 asio::awaitable<void> FaultInjector::runPhase(milliseconds length,
                                               bool isPlanned) {
-  Log.print(isPlanned ? "-- planned work" : "-- storm");
+  Log.print(isPlanned ? "-- planned work" : "-- faults");
   const base::Instant end = Journal::now() + length;
   while (Journal::now() < end) {
     const FaultKind &kind = randomFaultKind();
-    // Planned work strikes in storms as well.
+    // Planned work also happens in fault phases.
     if (kind.IsPlanned || !isPlanned)
       asio::co_spawn(Io, injectFault(kind), asio::detached);
     co_await sleepFor(randomDuration(50, 500));
@@ -153,7 +155,7 @@
 asio::awaitable<void> FaultInjector::runQuietPhase(milliseconds length) {
   while (ActiveFaults > 0)
     co_await sleepFor(PollInterval);
-  Log.print("-- calm");
+  Log.print("-- quiet");
   co_await sleepFor(length);
 }
 
@@ -192,7 +194,7 @@
 }
 
 asio::awaitable<void> FaultInjector::killAllGateways() {
-  // Rarer than the others, or nothing else would be seen.
+  // Rarer than other faults: an outage of all gateways hides their effects.
   if (!Random.chance(0.3))
     co_return;
   for (const auto &gateway : System.Gateways.Members) {
@@ -239,7 +241,7 @@
   if (!isBad)
     co_return;
   replaceFile(gateway.SettingsFile, good);
-  // One that started with them has ended by then.
+  // By then a gateway that started with the bad settings has exited.
   co_await sleepFor(SettingsErrorExitTime);
   gateway.Process->HasBadSettings = false;
 }
@@ -305,7 +307,8 @@
 
 asio::awaitable<void> FaultInjector::drainServer() {
   FakeServer &server = randomServer();
-  // One of each service stays.
+  // Drains one server of a service at a time, so that the service stays
+  // available.
   for (const auto &other : System.Servers)
     if (other->options().Service == server.options().Service &&
         other->LeavingSince != base::Instant::max())
--- a/test/soak/fault-injector.h
+++ b/test/soak/fault-injector.h
@@ -1,5 +1,6 @@
-/// Faults: what the soak does to the deployment, from a seed: storms of faults
-/// that come in series and overlap, planned work alone, and calm between.
+/// FaultInjector: injects faults into the deployment, drawn from a seed. Phases
+/// of overlapping faults and phases of planned work alternate with quiet
+/// phases.
 #pragma once
 
 #include "config-writer.h"
@@ -19,13 +20,13 @@
 
 namespace drumlanding::soak {
 
-/// All that faults can strike.
+/// The processes and servers into which faults are injected.
 struct Deployment {
   ProcessSupervisor Programs;
   GatewayPool Gateways;
   std::vector<Program *> Sidecars;
   std::vector<std::unique_ptr<FakeServer>> Servers;
-  /// The stand-in of the platform's store.
+  /// The fake of the platform's store.
   base::Endpoint Store;
 };
 
@@ -34,7 +35,7 @@
   FaultInjector(asio::io_context &io, Journal &journal, Deployment &deployment,
                 ConfigWriter &configs, std::uint64_t seed);
 
-  /// BrokenAnswers until the time is over, and ends in calm.
+  /// Injects faults until `until`, and ends with a quiet phase.
   asio::awaitable<void> run(base::Instant until);
 
 private:
@@ -42,7 +43,7 @@
   struct FaultKind {
     std::string Name;
     bool IsPlanned = false;
-    /// How often it is drawn, against the others.
+    /// Relative probability of being drawn.
     int Weight = 1;
     std::function<Step(FaultInjector &)> Inject;
   };
--- a/test/soak/gateway-pool.cc
+++ b/test/soak/gateway-pool.cc
@@ -8,7 +8,7 @@
 
 constexpr base::milliseconds ProbeInterval{300};
 constexpr base::milliseconds ProbeTimeout{250};
-/// As many misses take a gateway out.
+/// A gateway is not ready after this many failed probes in a row.
 constexpr int MaxFailedProbes = 2;
 constexpr int StatusOk = 200;
 
--- a/test/soak/gateway-pool.h
+++ b/test/soak/gateway-pool.h
@@ -1,5 +1,5 @@
-/// Gateways: the gateway processes as callers see them, each behind a proxy,
-/// and a balancer's look at who is ready.
+/// GatewayPool: the gateway processes, each behind a proxy, and the readiness
+/// checks of a load balancer in front of them.
 #pragma once
 
 #include "journal.h"
@@ -17,19 +17,22 @@
 
 struct Gateway {
   Program *Process = nullptr;
-  /// Where callers connect, and where the gateway listens behind it.
+  /// Where callers connect: the proxy in front of the gateway.
   base::Endpoint Public;
+  /// Where the gateway itself answers readiness checks.
   base::Endpoint Ready;
   std::string SettingsFile;
   std::unique_ptr<Proxy> CallerLink;
   std::unique_ptr<Proxy> StoreLink;
   bool IsReady = false;
   int FailedProbes = 0;
-  /// The newest key that this life of the gateway has refused.
+  /// The newest key that the gateway refused after having accepted the same or
+  /// a newer one, and the instance that refused it.
   int RefusedKey = 0;
   int RefusedByInstance = 0;
   base::Instant RefusedAt{};
-  /// The newest key that it has accepted in that life, and when.
+  /// The newest key that the gateway accepted, the instance that accepted it,
+  /// and when.
   int AcceptedByInstance = 0;
   int AcceptedKey = 0;
   base::Instant AcceptedAt{};
@@ -39,9 +42,9 @@
 public:
   std::vector<std::unique_ptr<Gateway>> Members;
 
-  /// Asks each for its readiness, as a balancer does, until the end.
+  /// Polls each gateway's readiness, as a load balancer does; never returns.
   asio::awaitable<void> probeReadiness();
-  /// Returns a gateway that is ready, or any when none is.
+  /// Returns a random ready gateway, or any gateway if none is ready.
   Gateway &chooseReady(base::Random &random) const;
 };
 
--- a/test/soak/journal.cc
+++ b/test/soak/journal.cc
@@ -40,7 +40,7 @@
   if (ReportedNotRun.contains(attempt))
     recordViolation("not run is true",
                     attempt + " runs on " + server +
-                        " after its caller was told that it did not");
+                        " after its caller received a not-run response");
 }
 
 void Journal::recordNotRun(const std::string &attempt) {
@@ -57,8 +57,9 @@
   if (at - since > LeavePropagationTime &&
       !hasUnplannedFault(since - RecoveryTime, at))
     recordViolation("no work for a leaving server",
-                    attempt + " came to " + server + " " +
-                        std::to_string(base::toMs(at - since)) + " ms after");
+                    attempt + " reached " + server + " " +
+                        std::to_string(base::toMs(at - since)) +
+                        " ms after the store accepted that it leaves");
 }
 
 void Journal::recordViolation(std::string_view promise,
--- a/test/soak/journal.h
+++ b/test/soak/journal.h
@@ -1,5 +1,5 @@
-/// Journal: what the soak knows of its run: the faults that were injected and
-/// when, what ran on the servers, and the promises that were broken.
+/// Journal: the record of a soak run: injected faults and their times, attempts
+/// that ran on servers, and violated promises.
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -12,7 +12,7 @@
 
 namespace drumlanding::soak {
 
-/// One run of an attempt on a server.
+/// One execution of an attempt on a server.
 struct Execution {
   std::string Server;
   base::Instant StartedAt{};
@@ -22,45 +22,47 @@
 public:
   Journal() : StartedAt(now()) {}
 
-  /// A server that leaves gets nothing new after this, as the gateways' flag
-  /// --drain_ms says, and a little for what is on its way.
+  /// A leaving server receives no new work after this time: the gateways' flag
+  /// --drain_ms (1 s in the soak) and a margin for requests in flight.
   static constexpr base::milliseconds LeavePropagationTime{1'300};
-  /// Trouble is over for a gateway when there was none for so long.
+  /// Gateways have recovered when this time has passed since the last fault.
   static constexpr base::milliseconds RecoveryTime{3'000};
 
   static base::Instant now() { return base::SystemClock().now().Steady; }
 
-  /// Notes a fault that holds from now on, and returns its number.
+  /// Records a fault that is active from now on, and returns its number.
   std::size_t beginFault(std::string description, bool isPlanned);
   void endFault(std::size_t number);
-  /// True when an unplanned fault held at any time of [from, to].
+  /// Returns true if an unplanned fault was active at any time in [from, to].
   bool hasUnplannedFault(base::Instant from, base::Instant to) const;
-  /// The same, with planned work.
+  /// Returns true if a fault or planned work was active in [from, to].
   bool hasFaultOrPlannedWork(base::Instant from, base::Instant to) const;
   std::size_t faults() const { return Faults.size(); }
 
-  /// Notes that a server begins to work on an attempt.
+  /// Records that a server starts to work on an attempt.
   void recordStart(const std::string &attempt, const std::string &server,
                    bool isIdempotent);
-  /// Notes that a caller was told that an attempt did not run, and never will.
+  /// Records that a caller received a response that states that the attempt did
+  /// not run and never will.
   void recordNotRun(const std::string &attempt);
   bool hasStarted(const std::string &attempt) const {
     return Executions.contains(attempt);
   }
 
-  /// Notes work that came to a server after the store had taken that it leaves;
-  /// a breach when nothing but planned work went on.
+  /// Records an attempt that reached a server after the store had accepted that
+  /// it is leaving; a violation unless an unplanned fault was active.
   void recordStartAfterLeaving(const std::string &attempt,
                                const std::string &server, base::Instant since);
 
-  /// Which server is at an address; empty when none is up there.
+  /// Returns the id of the server at an address; empty if none is up there.
   std::function<std::string(const std::string &address)> ServerAt;
 
+  /// Counts and prints a violated promise.
   void recordViolation(std::string_view promise,
                        const std::string &description);
   std::size_t violations() const { return Violations; }
 
-  /// Prints a line with the seconds since the start.
+  /// Prints a line prefixed with the seconds since the start.
   void print(const std::string &line) const;
 
 private:
--- a/test/soak/main.cc
+++ b/test/soak/main.cc
@@ -1,6 +1,6 @@
-// soak: runs the real gateways and sidecars as processes of their own, before
-// stand-in servers and a stand-in store, strikes them with faults from a seed,
-// and checks the promises from what callers and servers see.
+// soak: runs the real gateways and sidecars as separate processes with fake
+// backend servers and a fake store, injects faults drawn from a seed, and
+// checks the documented promises against what callers and servers observe.
 //
 //   soak --programs build --work /tmp/soak --seed 7 --seconds 60
 #include "callers.h"
@@ -19,13 +19,15 @@
 #include <gflags/gflags.h>
 
 DEFINE_uint64(seed, 1, "[soak] seed of faults and callers");
-DEFINE_double(seconds, 40, "[soak] how long faults strike");
-DEFINE_string(programs, "build", "[soak] folder of the programs");
-DEFINE_string(work, "", "[soak] folder for settings and logs");
-DEFINE_int32(gateways, 3, "[soak] gateways, 1 to 100");
-DEFINE_int32(engines, 4, "[soak] engines, each with a sidecar, 1 to 100");
-DEFINE_int32(services, 3, "[soak] plain servers, 1 to 50");
-DEFINE_int32(callers, 24, "[soak] callers, each with one request at a time");
+DEFINE_double(seconds, 40, "[soak] seconds during which faults are injected");
+DEFINE_string(programs, "build", "[soak] directory of the programs under test");
+DEFINE_string(work, "", "[soak] directory for settings and logs");
+DEFINE_int32(gateways, 3, "[soak] number of gateways, 1 to 100");
+DEFINE_int32(engines, 4,
+             "[soak] number of engines, each with a sidecar, 1 to 100");
+DEFINE_int32(services, 3, "[soak] number of plain backend servers, 1 to 50");
+DEFINE_int32(callers, 24,
+             "[soak] number of callers, each with one request at a time");
 DEFINE_int32(base_port, 21000, "[soak] first port on loopback");
 
 namespace drumlanding::soak {
@@ -38,13 +40,13 @@
                                       "work",     "gateways", "engines",
                                       "services", "callers",  "base_port"};
 constexpr milliseconds ShutdownTimeout{12'000};
-/// With less than this part served, the run has shown nothing.
+/// A run that completes a smaller fraction of its requests has tested nothing.
 constexpr double MinCompletedRatio = 0.3;
-/// Addresses 127.0.GROUP.n tell the machines apart.
+/// Each simulated machine has its own address, 127.0.SUBNET.n.
 constexpr int GatewaySubnet = 2;
 constexpr int ServerSubnet = 1;
 
-/// Ports, the same on all machines, from the first one.
+/// Ports, as offsets from --base_port; the same on every address.
 enum Port {
   StorePort,
   PublicPort,
@@ -82,8 +84,9 @@
       startSidecar(n);
     System.Programs.OnUnexpectedExit = [this](const Program &program,
                                               int status) {
-      Log.recordViolation("no process ends by itself",
-                          fmt::format("{} status {}", program.Name, status));
+      Log.recordViolation(
+          "no process ends by itself",
+          fmt::format("{} exited with wait status {}", program.Name, status));
     };
     Log.ServerAt = [this](const std::string &address) {
       return serverAt(address);
@@ -147,7 +150,8 @@
     auto callerLink = Proxy::start(Io, gateway->Public, listen);
     auto storeLink = Proxy::start(Io, store, storeEndpoint());
     if (!ok(callerLink) || !ok(storeLink)) {
-      Log.recordViolation("soak", "a port is taken");
+      Log.recordViolation(
+          "soak", "cannot listen for the proxies of a gateway: port in use");
       return;
     }
     gateway->CallerLink = std::move(value(callerLink));
@@ -204,16 +208,17 @@
       co_await sleepFor(milliseconds(20));
     if (callers.active() > 0)
       Log.recordViolation("every request gets a final answer in time",
-                          fmt::format("{} callers wait", callers.active()));
+                          fmt::format("{} callers still wait for a response",
+                                      callers.active()));
     Counts = callers.counts();
     Io.stop();
   }
 
   int reportResult() {
     if (Counts.Completed < MinCompletedRatio * Counts.Sent)
-      Log.recordViolation(
-          "requests are served",
-          fmt::format("{} of {}", Counts.Completed, Counts.Sent));
+      Log.recordViolation("requests are served",
+                          fmt::format("{} of {} requests completed",
+                                      Counts.Completed, Counts.Sent));
     std::printf("soak: seed=%llu requests=%d whole=%d refused=%d failed=%d "
                 "broken=%d faults=%zu violations=%zu\n",
                 static_cast<unsigned long long>(FLAGS_seed), Counts.Sent,
@@ -238,7 +243,8 @@
 int main(int argc, char **argv) {
   using namespace drumlanding;
   const auto arguments = base::readSettings(
-      argc, argv, "soak: strikes the real programs with faults", soak::Flags);
+      argc, argv, "soak: injects faults into gateways and sidecars",
+      soak::Flags);
   if (!ok(arguments))
     base::exitOnBadSettings(error(arguments));
   if (FLAGS_work.empty())
@@ -246,6 +252,7 @@
   std::filesystem::create_directories(FLAGS_work);
   std::signal(SIGPIPE, SIG_IGN);
   const int code = soak::Soak().run();
-  // Connections that are still open hold references into it.
+  // Exits without destructors: coroutines of open connections still refer to
+  // the destroyed Soak.
   std::_Exit(code);
 }
--- a/test/soak/process-supervisor.cc
+++ b/test/soak/process-supervisor.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr base::milliseconds PollInterval{20};
-/// An ended program stays down for this long.
+/// Time between a program's exit and its restart.
 constexpr base::milliseconds RestartDelay{300};
 
-/// How our programs end when their settings are wrong.
+/// Exit code of the programs on invalid settings.
 constexpr int SettingsErrorExitCode = 2;
 
 base::Instant now() { return base::SystemClock().now().Steady; }
@@ -42,13 +42,14 @@
   posix_spawn_file_actions_addopen(&actions, 1, program.LogFile.c_str(),
                                    AppendFlags, 0644);
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
-  // A connection that the soak closes must not live on in what it has started.
+  // Child processes inherit no sockets: otherwise a connection that the soak
+  // closes would stay open in them.
   constexpr int FirstNonStandardDescriptor = 3;
   posix_spawn_file_actions_addclosefrom_np(&actions,
                                            FirstNonStandardDescriptor);
   std::vector<char *> arguments;
-  for (std::string &word : program.Arguments)
-    arguments.push_back(word.data());
+  for (std::string &argument : program.Arguments)
+    arguments.push_back(argument.data());
   arguments.push_back(nullptr);
   if (posix_spawn(&program.Pid, arguments[0], &actions, nullptr,
                   arguments.data(), environ) != 0)
--- a/test/soak/process-supervisor.h
+++ b/test/soak/process-supervisor.h
@@ -1,5 +1,5 @@
-/// Processes: the real programs that the soak runs, each started by it, ended
-/// by it only through its own id, and started again when it has ended.
+/// ProcessSupervisor: starts the programs under test, restarts each one after
+/// it has ended, and sends signals only to process ids that it has started.
 #pragma once
 
 #include "drumlanding/base/clock.h"
@@ -15,33 +15,36 @@
 
 namespace asio = boost::asio;
 
-/// A program, its flags, and the process that runs it now.
+/// A program, its command line, and its current process.
 struct Program {
   std::string Name;
   std::vector<std::string> Arguments;
   std::string LogFile;
+  /// 0 if no process is running.
   pid_t Pid = 0;
-  /// How often it was started.
+  /// Number of starts so far.
   int InstanceNumber = 0;
+  /// Time of the last start, or of the last exit while no process is running.
   base::Instant StartedAt{};
-  /// It has been told to end, or killed: its end is no surprise.
+  /// True after SIGTERM or SIGKILL was sent.
   bool IsExitExpected = false;
   bool IsPaused = false;
-  /// Its settings are broken for now: it may refuse to start.
+  /// True while its settings file is invalid; it may exit with a settings
+  /// error.
   bool HasBadSettings = false;
 };
 
 class ProcessSupervisor {
 public:
-  /// Called when a program ends that nobody told to.
+  /// Called when a program exits that was not sent SIGTERM or SIGKILL.
   std::function<void(const Program &, int status)> OnUnexpectedExit;
 
   Program &add(std::string name, std::vector<std::string> arguments,
                std::string logFile);
-  /// Starts what is not running and reaps what has ended, until the end.
+  /// Reaps ended processes and restarts them until `killAll` is called.
   asio::awaitable<void> supervise();
   void signal(Program &program, int signalNumber);
-  /// Kills all and waits for them.
+  /// Kills all programs and waits until they have exited.
   void killAll();
 
 private:
--- a/test/soak/proxy.cc
+++ b/test/soak/proxy.cc
@@ -17,14 +17,14 @@
 using daemon::sleepFor;
 
 constexpr std::size_t BufferBytes = 16 << 10;
-/// How often a held-up piece looks whether it may go on.
+/// How often a stalled connection checks whether the fault has ended.
 constexpr base::milliseconds StallPollInterval{5};
 
 tcp::endpoint toTcp(const base::Endpoint &e) {
   return {asio::ip::make_address(e.Address), e.Port};
 }
 
-/// Closes so that the other side sees a reset.
+/// Closes the socket with a TCP reset.
 void reset(tcp::socket &socket) {
   error_code ec;
   socket.set_option(asio::socket_base::linger(true, 0), ec);
--- a/test/soak/proxy.h
+++ b/test/soak/proxy.h
@@ -1,5 +1,5 @@
-/// Proxy: a TCP link on loopback that can be delayed, reset, cut one way or
-/// silenced while connections run through it.
+/// Proxy: a TCP proxy on loopback that can delay, stall (in one or both
+/// directions) or reset the connections that run through it.
 ///
 ///   auto proxy = Proxy::start(io, listen, target);
 ///   value(proxy)->set(LinkFault::Silent);
@@ -22,10 +22,10 @@
 
 enum class LinkFault {
   None,
-  Delayed,         ///< Each piece takes longer by `Delay`.
-  Stalled,         ///< Bytes are held up both ways, and come after it.
-  StalledToServer, ///< Only what clients send is held up.
-  StalledToClient, ///< Only what servers send is held up.
+  Delayed,         ///< Each chunk is forwarded `Delay` later.
+  Stalled,         ///< Both directions are held back until the fault ends.
+  StalledToServer, ///< Only data from clients is held back.
+  StalledToClient, ///< Only data from servers is held back.
   Refused,         ///< New connections are reset.
 };
 
@@ -37,9 +37,10 @@
   start(asio::io_context &io, base::Endpoint listen, base::Endpoint target);
 
   void setFault(LinkFault fault) { Fault = fault; }
-  /// Resets all connections that are open now.
+  /// Resets all open connections.
   void resetAll();
-  /// Connections that are open now never carry anything again; new ones do.
+  /// Discards all further data on connections that are open now, without
+  /// closing them; new connections work.
   void blackholeOpenConnections();
 
 private:
