--- a/support/capacity-run.sh
+++ b/support/capacity-run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures the control traffic and processor time of idle daemons against the
-# number of agents. Agents share a few stand-in engines. Example:
+# Measures control traffic, CPU time and memory of idle daemons for several
+# numbers of agents. The agents share four fake engines. Example:
 #   AGENTS="25 50 100" N_ENTRIES=10 support/capacity-run.sh
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
@@ -12,13 +12,14 @@
 WORK=$(mktemp -d)
 trap 'stop_deployment; rm -rf "$WORK"' EXIT
 
-# metric URL NAME: the sum of a metric's samples
+# metric URL NAME: prints the sum of a metric's samples
 metric() {
   curl -s "http://$1/metrics" |
     awk -v n="$2" 'index($1, n) == 1 { sum += $2 } END { printf "%.6f", sum }'
 }
 
-# sample NAME URL...: bytes and cpu seconds of several daemons, summed
+# sample URL...: prints control bytes, CPU seconds and resident memory, each
+# summed over the daemons
 sample() {
   local url bytes=0 cpu=0 memory=0
   for url in "$@"; do
@@ -29,6 +30,7 @@
   echo "$bytes $cpu $memory"
 }
 
+# Prints averages per daemon between two samples.
 report() { # KIND COUNT BEFORE AFTER
   local kind=$1 n=$2
   set -- $3 $4
--- a/support/check-format.sh
+++ b/support/check-format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a source file is not formatted as .clang-format says.
+# Fails if a source file is not formatted according to .clang-format.
 cd "$(dirname "$0")/.." || exit 1
 git ls-files -co --exclude-standard '*.cc' '*.h' | grep -v '\.pb\.' |
   xargs clang-format --dry-run --Werror
--- a/support/check-lint.sh
+++ b/support/check-lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the linter over all sources but generated ones. A file that is clean is
-# not checked again until it, a header or the rules change.
+# Runs clang-tidy on all sources except generated ones. A clean file is checked
+# again only after a change to it, to a header, to .clang-tidy or CMakeLists.txt.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
@@ -12,7 +12,7 @@
   local mark
   mark=$BUILD/lint/$( (echo "$STATE $1"; cat "$1") | sha256sum | cut -c1-32)
   [ -e "$mark" ] && return 0
-  # GCC's coroutine header asks for this macro, which clang 14 leaves out.
+  # GCC's coroutine header requires this macro, which clang 14 does not define.
   clang-tidy --quiet -p "$BUILD" \
     --extra-arg=-D__cpp_impl_coroutine=201902L \
     --extra-arg=-Wno-unknown-warning-option "$1" 2>"$mark.log" >"$mark.out"
--- a/support/deployment.sh
+++ b/support/deployment.sh
@@ -1,6 +1,6 @@
 # Functions that start a small deployment on 127.0.0.1, for the demo and the
-# tests. Source this file; it needs BUILD (build folder) and WORK (a folder for
-# keys and logs), and BASE_PORT.
+# tests. Source this file after setting BUILD (build directory), WORK (directory
+# for keys and logs), BASE_PORT, and ROOT (repository).
 #
 #   start_deployment lernwerk 2 3 1   # entries, engine servers, plain servers
 #   roll_out examples/lernwerk/bundle.json
@@ -16,7 +16,7 @@
 
 port() { echo $((BASE_PORT + $1)); }
 
-# Starts a program in the background and remembers its process by name.
+# Starts a program in the background and stores its process id under its name.
 start_process() {
   local name=$1
   shift
@@ -25,7 +25,7 @@
   PIDS+=($!)
 }
 
-# Reads one text value, such as deployment, out of a bundle's pretty JSON.
+# Prints the names of the places in a bundle in indented JSON, one a line.
 places_of() {
   sed -n '/"places"/,/\]/s/.*"name": "\(.*\)".*/\1/p' "$1"
 }
@@ -40,7 +40,7 @@
   DRUMLANDING_APPROVER_KEYS=$(cat "$WORK/approver.pub")
 }
 
-# vm NAME ROLE SERVICE PLACE CONTROL [STATE]
+# vm_json NAME ROLE SERVICE PLACE CONTROL [STATE]: prints a VM's list entry
 vm_json() {
   printf '{"name":"%s","role":"%s","service":"%s","place":"%s","control":"%s","state":"%s"}' \
     "$1" "$2" "$3" "$4" "$5" "${6:-live}"
@@ -146,13 +146,14 @@
       --platform "$PLATFORM"
 }
 
-# The example's credentials, separated by commas.
+# Prints the example's credentials, separated by commas.
 credentials_of() {
   sed -n '/"organisations"/,$s/^      "name": "\(.*\)",/example-credential-\1/p' \
     "$1" | paste -sd,
 }
 
-# Waits until every entry and agent is ready and a request goes through.
+# Waits until all entries and engine agents are ready and every entry serves a
+# request.
 wait_until_serving() {
   local i entry first=1 credential
   credential=$(credentials_of "$ROOT/examples/$1/bundle.json")
--- a/support/install.sh
+++ b/support/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need, from Debian's packages.
+# Installs the Debian packages that the build and the tests need.
 set -eu
 packages=(g++ cmake ninja-build ccache curl bc clang-format clang-tidy
   libboost1.81-dev libnng-dev prometheus-cpp-dev libgflags-dev libspdlog-dev
--- a/support/mutants.sh
+++ b/support/mutants.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Plants one fault after another in a copy of the gateway and says which layer of
-# tests catches it: unit, random runs, soak.
+# Mutation test: applies one mutation at a time to a copy of the source and
+# prints which layer of tests detects it: unit tests, random runs or the soak.
 #
-#   mutants.sh                       # all, units and random runs
-#   mutants.sh --soak-seconds 45     # also the soak, seed 501, for each
-#   mutants.sh forbidden-retry ...   # some of them
+#   mutants.sh                       # all mutants, unit tests and random runs
+#   mutants.sh --soak-seconds 45     # also runs the soak, seed 501, on each
+#   mutants.sh forbidden-retry ...   # only the named mutants
 #
-# The last line counts those that nothing caught; the exit code is 1 then.
+# The last line counts the mutants that no layer detected, that did not build or
+# whose pattern did not match; the exit code is 1 if there are any.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 SOAK_SECONDS=0
--- a/support/path-bench.sh
+++ b/support/path-bench.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures the cost of the path: tokens a second that one entry passes on for
-# each core, and the time of a one-token answer through entry and agent against
-# asking the engine directly, in one run.
+# Measures the overhead of the request path in one run: tokens per second and
+# core that one entry forwards, and the latency of a one-token response through
+# entry and agent compared with a request sent directly to the engine.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 BUILD=${BUILD:-$ROOT/build}
@@ -38,7 +38,7 @@
   printf "agent: %.1f us each (half of the tokens)\n", 1e6 * (as[2] - as[1]) / (n / 2)
 }'
 
-# One token, many times; medians.
+# Median latency of 100 one-token requests on each path.
 median_of() { sort -n | awk '{ v[NR] = $1 } END { print v[int((NR + 1) / 2)] }'; }
 credential=$(credentials_of "$ROOT/examples/$EXAMPLE/bundle.json")
 credential=${credential%%,*}
--- a/support/plot-gaps.sh
+++ b/support/plot-gaps.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Draws the gap tail (p99.9, ms) against load as SVG, from policy-bench's CSV:
+# Plots the 99.9th percentile of token gaps (ms) against load as SVG, from the
+# CSV output of policy-bench:
 #   build/policy-bench --load 0.6,0.8,1.0,1.2,1.4 --seed 1,2,3 --csv gaps.csv
 #   support/plot-gaps.sh gaps.csv >docs/gap-tail.svg
 awk -F, '
--- a/support/process-test.sh
+++ b/support/process-test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Tests with real processes, checked by `load` and by the stand-ins' counters.
+# Tests with real processes. The results are checked by `load` and by counters of
+# the fake servers.
 #
 #   process-test.sh SCENARIO
 #
@@ -12,7 +13,8 @@
 SCENARIO=${1:?a scenario is needed}
 EXAMPLE=lernwerk
 WORK=$(mktemp -d)
-# Each scenario has ports of its own, so that ctest can run several at once.
+# The base port depends on the scenario's name (one of eight ranges), so that most
+# scenarios can run at the same time.
 BASE_PORT=$((24000 + 1000 * ($(printf %s "$SCENARIO" | cksum | cut -d' ' -f1) % 8)))
 . "$ROOT/support/deployment.sh"
 trap 'stop_deployment; rm -rf "$WORK"' EXIT
@@ -29,7 +31,7 @@
   wait_until_serving "$EXAMPLE" || fail "not serving"
 }
 
-figure() { # NAME: a figure of the last run of load
+figure() { # NAME: prints a value from the summary of the last load run
   sed -n "s/.* *\b$1=\([0-9]*\).*/\1/p" "$WORK/load.out"
 }
 
@@ -39,8 +41,9 @@
   LOAD=$!
 }
 
-# Ends the scenario: no violation, and at least so many whole answers.
-finish_load() {
+# Waits for the load run; fails on a violation or if fewer than COUNT responses
+# were complete.
+finish_load() { # COUNT
   wait "$LOAD"
   local code=$?
   cat "$WORK/load.out"
@@ -59,7 +62,7 @@
     -H "Authorization: Bearer $credential" -d "$body" "$@"
 }
 
-bundle_with() { # VERSION MAXOPEN: prints a changed bundle
+bundle_with() { # VERSION MAXOPEN: prints the example's bundle with these values
   sed "s/\"version\": 1,/\"version\": $1,/; 0,/\"maxOpen\": [0-9]*/s//\"maxOpen\": $2/" \
     "$ROOT/examples/$EXAMPLE/bundle.json"
 }
@@ -69,7 +72,9 @@
     sed -n 's/drumlanding_document_version{document="bundle"} //p'
 }
 
-wait_for_version() { # VERSION: everywhere, within the users' 11 s
+# Waits until all entries and two agents report the version; fails after 11 s, the
+# time within which users can rely on a new bundle.
+wait_for_version() { # VERSION
   local i url all
   for ((i = 0; i < 110; i++)); do
     all=1
@@ -128,7 +133,8 @@
   finish_load 150
   ;;
 drain)
-  # The platform's list says that a VM leaves: nothing new after 3 s.
+  # The platform's list marks a VM as leaving; its engine receives no new work
+  # after 3 s.
   up 2 2 2
   start_load --seconds 12 --call_part 0
   sleep 3
@@ -143,7 +149,7 @@
   [ "$(figure broken)" = 0 ] || fail "a stream was cut off"
   ;;
 planned-stop)
-  # Every agent and one entry in turn, while callers keep coming.
+  # Restarts the engine agents one after another under load.
   up 3 3 3
   start_load --seconds 20 --call_part 0
   for n in 1 2 3; do
@@ -157,8 +163,8 @@
   [ "$(figure unanswered)" = 0 ] || fail "a caller got no answer"
   ;;
 stop-place)
-  # All of one place is stopped at once: its entry, an engine's agent and a
-  # plain service's agent. What they have in flight ends whole.
+  # Stops all processes of one place at once: its entry, an engine's agent and a
+  # plain service's agent. Requests in flight still complete.
   up 3 3 3
   run_load --entries "${ENTRIES[0]}" --rate 15 --seconds 3 --max_tokens 400 \
     --call_part 0 --drop_part 0 --progress=false >"$WORK/place.out" 2>&1 &
@@ -177,8 +183,8 @@
   [ "$(figure unanswered)" = 0 ] || fail "a caller got no answer"
   ;;
 rack-returns)
-  # Half of the agents freeze together and come back together, sooner than
-  # their entries stop asking after lost replies: nothing may break.
+  # Half of the agents are paused together and resumed together, before the
+  # entries stop retrying after lost replies; no stream may be interrupted.
   up 2 4 2
   start_load --seconds 14 --call_part 0
   sleep 3
@@ -189,7 +195,7 @@
   [ "$(figure broken)" = 0 ] || fail "a stalled stream was given up"
   ;;
 races)
-  # Two operators roll different bundles out at the same moment.
+  # Two operators roll out different bundles at the same time.
   up 2 2 2
   for n in 1 2; do
     bundle_with 2 "10$n" >"$WORK/b$n.json"
@@ -211,17 +217,18 @@
   wait_for_version 2 || fail "not in force in 11 s"
   ;;
 lost-answer)
-  # The swap takes effect and its answer is lost; then the service goes down.
+  # A compare-and-swap succeeds but its response is lost; later the store is down.
   up 2 2 2
   bundle_with 2 77 >"$WORK/b.json"
   sign_bundle "$WORK/b.json" "$WORK/s.json" >/dev/null || fail sign
   curl -s "http://$PLATFORM/v1/test/faults?lose=1" >/dev/null
-  # A keeper's write can take the fault: roll out until it was ours.
+  # The write of a plan leader can hit the injected fault instead; the roll-out
+  # succeeds in both cases.
   "$BUILD/drumlandingctl" bundle roll-out "$WORK/s.json" \
     --platform "$PLATFORM" || fail "roll-out"
   wait_for_version 2 || fail "not in force in 11 s"
   curl -s "http://$PLATFORM/v1/test/faults?down=1" >/dev/null
-  # A restarted agent and entry learn from their peers during the outage.
+  # During the outage, a restarted agent receives the bundle from its peers.
   kill -KILL "${PID_OF[tutor-llm-1]}"
   sleep 0.5
   start_agent tutor-llm-1 1 tutor-llm engine hall-a "${ENGINES[0]}"
@@ -233,7 +240,8 @@
   wait_for_version 2 || fail "version 2 is gone"
   ;;
 frozen-keeper)
-  # The holder of the plan's lease is frozen past its lapse and thawed.
+  # The holder of the plan lease is paused until after the lease has expired, then
+  # resumed.
   up 2 2 2
   keeper=entry-1
   grep -q "lease taken" "$WORK/entry-2.log" && keeper=entry-2
@@ -255,7 +263,7 @@
   ;;
 hostile)
   up 1 1 1
-  # Random bytes and cut-off messages to every port.
+  # Sends random bytes and truncated requests to every port.
   for p in 11 41 101 301 201 401; do
     for n in 1 2 3 4 5 6; do
       head -c $((n * 700)) /dev/urandom |
@@ -264,11 +272,11 @@
         timeout 1 bash -c "cat >/dev/tcp/127.0.0.1/$(port $p)" 2>/dev/null
     done
   done
-  # A stranger's control key is not answered.
+  # Requests with an unknown control key are not answered.
   "$BUILD/drumlandingctl" bundle status --platform "$PLATFORM" \
     --control_key "$("$BUILD/drumlandingctl" control-key)" |
     grep -q "no answer" || fail "a stranger was answered"
-  # A changed byte, and keys that nobody trusts.
+  # A bundle signed with an untrusted author key is refused.
   "$BUILD/drumlandingctl" keygen "$WORK/stranger" >/dev/null
   bundle_with 2 55 >"$WORK/b.json"
   "$BUILD/drumlandingctl" bundle sign "$WORK/b.json" --role author \
@@ -308,17 +316,17 @@
   expect_two "bad key" env DRUMLANDING_CONTROL_KEY=zz \
     "$BUILD/drumlanding-entry" --name e --place p --failure_domain d \
     --control_listen 127.0.0.1:1
-  # It also names every part of the logs and every metric.
+  # docs/OPERATORS.md names every log component and every metric.
   for word in $(grep -rhoE '"(entry|agent)\.[a-z]+"' "$ROOT/src" | tr -d '"' | sort -u) \
     $(sed -n 's/^    {"\([a-z_]*\)",.*/\1/p' "$ROOT/src/base/metrics.cc"); do
     grep -q "\`$word" "$ROOT/docs/OPERATORS.md" || fail "docs/OPERATORS.md lacks $word"
   done
-  # The examples are valid bundles.
+  # The bundles in examples/ are valid.
   for example in lernwerk pwani; do
     "$BUILD/drumlandingctl" bundle check "$ROOT/examples/$example/bundle.json" ||
       fail "examples/$example"
   done
-  # The operators' page lists every flag with its default.
+  # docs/OPERATORS.md lists every flag with its default.
   for program in drumlanding-entry drumlanding-agent drumlandingctl \
     drumlanding-gateway; do
     "$BUILD/$program" --help | sed -n 's/^  --\([a-z_]*\) (\([a-z0-9]*\), default \(.*\), DRUML.*/\1 \3/p' |
@@ -354,7 +362,7 @@
   expect "no key" 400 malformed-request "http://$entry/v1/services/lernapp/x" -H "$auth" -d '{}'
   expect "unknown service" 404 unknown-service "http://$entry/v1/services/none/x" \
     -H "$auth" -H "Drumlanding-Repeatable: true" -d '{}'
-  # Another organisation's stream looks like one that is not there.
+  # A stream of another organisation is reported as not found.
   ask "$entry" "$one" '{"model":"tutor-llm","prompt":"x","maxTokens":300}' \
     -N -D "$WORK/stream.head" -o "$WORK/stream.body" &
   asker=$!
--- a/support/run-tests.sh
+++ b/support/run-tests.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the tests and judges them: a failure that KNOWN-RED.txt lists is printed
-# and passed over, every other one fails the run. A listed test that passes
-# fails the run too, since its line must go.
+# Runs the tests. Failures listed in KNOWN-RED.txt are printed and ignored; all
+# others fail the run. A listed test that passes also fails the run, so that its
+# line is removed.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 BUILD=${1:-$ROOT/build}
--- a/support/soak.sh
+++ b/support/soak.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Strikes the real gateways and sidecars with faults and checks the promises.
+# Injects faults into real gateways and sidecars and checks the promises.
 #
 #   soak.sh --seed 7 --minutes 2               # one run
-#   soak.sh --seed 100 --runs 50 --jobs 4      # seeds 100 to 149, four at a time
-#   soak.sh --regressions                      # the seeds that failed once
-#   soak.sh --seed 7 -- --gateways 20          # further flags of build/soak
+#   soak.sh --seed 100 --runs 50 --jobs 4      # seeds 100 to 149, four in parallel
+#   soak.sh --regressions                      # seeds that failed in the past
+#   soak.sh --seed 7 -- --gateways 20          # more flags for build/soak
 #
-# The last line of each run says what it saw; a run that broke a promise keeps
-# its folder of settings and logs, whose name is printed.
+# The last line of each run is its summary. If a run violates a promise, its
+# directory with settings and logs is kept and its name printed.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 BUILD=${BUILD:-$ROOT/build}
@@ -34,7 +34,7 @@
   local seed=$1 seconds work code
   seconds=$(echo "$2 * 60" | bc)
   work=$(mktemp -d)
-  # Each run has ports of its own.
+  # Each seed has its own ports, modulo 1000, so that runs can overlap.
   "$BUILD/soak" --programs "$BUILD" --work "$work" --seed "$seed" \
     --seconds "$seconds" --base_port $((20000 + 10 * (seed % 1000))) $FLAGS \
     >"$work/soak.log" 2>&1
