--- a/support/check-lint.sh
+++ b/support/check-lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs clang-tidy on all sources except generated ones. A clean file is checked
-# again only after a change to it, to a header, to .clang-tidy or CMakeLists.txt.
+# again only if it, a header, .clang-tidy or CMakeLists.txt has changed.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 BUILD=${BUILD:-build}
--- a/support/demo.sh
+++ b/support/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Works from a fresh clone: installs dependencies, builds, starts a small
-# deployment with fake backend servers on 127.0.0.1, streams one response, runs a
-# short load test and stops everything.
+# deployment with fake backend servers on 127.0.0.1, streams one response, runs
+# a short load test and stops everything.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 BUILD=${BUILD:-$ROOT/build}
@@ -38,8 +38,8 @@
   -d "{\"model\":\"$MODEL\",\"prompt\":\"How do I halve 3/4?\",\"maxTokens\":24}" |
   sed -un 's/^data: "\([a-z]*\)\..*/\1/p' | tr '\n' ' '
 echo
-# An agent that has just started refuses keys from before its start, since it
-# cannot tell whether they have run.
+# An agent refuses idempotency keys from before its start plus 5 s of clock skew,
+# since it cannot tell whether their calls have run.
 sleep 6
 echo "demo: load for ${SECONDS_OF_LOAD:-5} s"
 result=$(run_load --rate 30 --seconds "${SECONDS_OF_LOAD:-5}" --max_tokens 100)
--- a/support/process-test.sh
+++ b/support/process-test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tests with real processes. The results are checked by `load` and by counters of
-# the fake servers.
+# Tests with real processes, checked by `load` and by counters of the fake
+# servers.
 #
 #   process-test.sh SCENARIO
 #
@@ -13,8 +13,8 @@
 SCENARIO=${1:?a scenario is needed}
 EXAMPLE=lernwerk
 WORK=$(mktemp -d)
-# The base port depends on the scenario's name (one of eight ranges), so that most
-# scenarios can run at the same time.
+# The scenario's name selects one of eight port ranges, so that scenarios with
+# different ranges can run at the same time.
 BASE_PORT=$((24000 + 1000 * ($(printf %s "$SCENARIO" | cksum | cut -d' ' -f1) % 8)))
 . "$ROOT/support/deployment.sh"
 trap 'stop_deployment; rm -rf "$WORK"' EXIT
@@ -72,8 +72,8 @@
     sed -n 's/drumlanding_document_version{document="bundle"} //p'
 }
 
-# Waits until all entries and two agents report the version; fails after 11 s, the
-# time within which users can rely on a new bundle.
+# Waits until all entries and two agents report the version; fails after 11 s,
+# the time within which a new bundle is promised to be in force.
 wait_for_version() { # VERSION
   local i url all
   for ((i = 0; i < 110; i++)); do
@@ -217,7 +217,8 @@
   wait_for_version 2 || fail "not in force in 11 s"
   ;;
 lost-answer)
-  # A compare-and-swap succeeds but its response is lost; later the store is down.
+  # A compare-and-swap succeeds but its response is lost; later the store is
+  # down.
   up 2 2 2
   bundle_with 2 77 >"$WORK/b.json"
   sign_bundle "$WORK/b.json" "$WORK/s.json" >/dev/null || fail sign
@@ -240,8 +241,8 @@
   wait_for_version 2 || fail "version 2 is gone"
   ;;
 frozen-keeper)
-  # The holder of the plan lease is paused until after the lease has expired, then
-  # resumed.
+  # The holder of the plan lease is paused until after the lease has expired,
+  # then resumed.
   up 2 2 2
   keeper=entry-1
   grep -q "lease taken" "$WORK/entry-2.log" && keeper=entry-2
--- a/support/stream-run.sh
+++ b/support/stream-run.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# End-to-end benchmark: starts N_ENTRIES entries and N_ENGINES engines with agents,
-# keeps STREAMS streams open for SECONDS_OF_LOAD seconds and prints the results of
-# `load`. Example: N_ENTRIES=3 N_ENGINES=9 STREAMS=200 support/stream-run.sh
+# End-to-end benchmark: starts N_ENTRIES entries and N_ENGINES engines with
+# agents, keeps STREAMS streams open for SECONDS_OF_LOAD seconds and prints the
+# results of `load`. Example:
+#   N_ENTRIES=3 N_ENGINES=9 STREAMS=200 support/stream-run.sh
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 BUILD=${BUILD:-$ROOT/build}
@@ -14,6 +15,6 @@
 start_deployment "$EXAMPLE" "$N_ENTRIES" "$N_ENGINES" 3 &&
   roll_out "$ROOT/examples/$EXAMPLE/bundle.json" &&
   wait_until_serving "$EXAMPLE" || { tail -n 3 "$WORK"/*.log; exit 1; }
-sleep 6 # agents refuse keys from before their start
+sleep 6 # agents refuse keys from before their start plus 5 s of clock skew
 run_load --streams "$STREAMS" --seconds "${SECONDS_OF_LOAD:-20}" \
   --max_tokens "${MAX_TOKENS:-400}" --call_part "${CALL_PART:-0.2}" "$@"
