--- a/test/soak/proxy.h
+++ b/test/soak/proxy.h
@@ -1,5 +1,5 @@
-/// Proxy: a TCP link on loopback that can be delayed, reset, cut one way or
-/// silenced while connections run through it.
+/// Proxy: a TCP proxy on loopback that can delay, stall (in one or both
+/// directions) or reset the connections that run through it.
 ///
 ///   auto proxy = Proxy::start(io, listen, target);
 ///   value(proxy)->set(LinkFault::Silent);
@@ -22,11 +22,11 @@
 
 enum class LinkFault {
   None,
-  Delayed,     ///< Each piece takes longer by `Delay`.
-  Silent,      ///< Bytes are held up both ways, and come after it.
-  CutToServer, ///< Only what clients send is held up.
-  CutToClient, ///< Only what servers send is held up.
-  Refused,     ///< New connections are reset.
+  Delayed,         ///< Each chunk is forwarded `Delay` later.
+  Stalled,         ///< Both directions are held back until the fault ends.
+  StalledToServer, ///< Only data from clients is held back.
+  StalledToClient, ///< Only data from servers is held back.
+  Refused,         ///< New connections are reset.
 };
 
 class Proxy {
@@ -36,11 +36,12 @@
   static base::Result<std::unique_ptr<Proxy>>
   start(asio::io_context &io, base::Endpoint listen, base::Endpoint target);
 
-  void set(LinkFault fault) { Fault = fault; }
-  /// Resets all connections that are open now.
+  void setFault(LinkFault fault) { Fault = fault; }
+  /// Resets all open connections.
   void resetAll();
-  /// Connections that are open now never carry anything again; new ones do.
-  void silenceOpen();
+  /// Discards all further data on connections that are open now, without
+  /// closing them; new connections work.
+  void blackholeOpenConnections();
 
 private:
   using Socket = asio::ip::tcp::socket;
@@ -48,7 +49,7 @@
     explicit Link(asio::io_context &io) : Client(io), Server(io) {}
     Socket Client;
     Socket Server;
-    bool IsSilent = false;
+    bool IsBlackholed = false;
   };
   using LinkPointer = std::shared_ptr<Link>;
 
@@ -56,8 +57,8 @@
       : Io(io), Target(std::move(target)), Acceptor(io) {}
   asio::awaitable<void> accept();
   asio::awaitable<void> connect(LinkPointer link);
-  asio::awaitable<void> pump(LinkPointer link, bool isToServer);
-  bool isHeldUp(bool isToServer) const;
+  asio::awaitable<void> forward(LinkPointer link, bool isToServer);
+  bool isStalled(bool isToServer) const;
 
   asio::io_context &Io;
   base::Endpoint Target;
