--- a/test/soak/callers.cc
+++ b/test/soak/callers.cc
@@ -257,8 +257,10 @@
                         describe(record) + " key " + record.Key);
 }
 
-/// Checks how a failed request ended if only planned work was in progress: no
-/// late or truncated responses; and without planned work no failures at all.
+/// Checks requests that did not succeed. Without unplanned faults no response
+/// may be late, and none of a started attempt truncated before the timeout;
+/// without planned work as well, requests must not fail at all, except those
+/// whose key may have been removed.
 void Callers::checkOutcome(const RequestRecord &record) {
   if (record.Status == StatusOk && record.IsComplete)
     return;
--- a/test/soak/journal.h
+++ b/test/soak/journal.h
@@ -49,8 +49,9 @@
     return Executions.contains(attempt);
   }
 
-  /// Records an attempt that reached a server after the store had accepted that
-  /// it is leaving; a violation unless an unplanned fault was active.
+  /// Reports a violation if an attempt reached a server more than
+  /// `LeavePropagationTime` after the store had accepted that it is leaving,
+  /// and no unplanned fault was active.
   void recordStartAfterLeaving(const std::string &attempt,
                                const std::string &server, base::Instant since);
 
