--- a/include/drumlanding/entry/core.h
+++ b/include/drumlanding/entry/core.h
@@ -104,13 +104,13 @@
   wire::DocumentKind Kind = wire::BUNDLE;
   std::string Body;
 };
-struct LeaveOrdered {};
+struct LeaveRequested {};
 struct Tick {};
 
 using Event =
     std::variant<GenerationRequested, ResumeRequested, CancelRequested,
                  CallRequested, SessionClosed, ReplyArrived, PeerRequestArrived,
-                 VmsListed, DocumentRead, LeaveOrdered, Tick>;
+                 VmsListed, DocumentRead, LeaveRequested, Tick>;
 
 // Commands.
 
@@ -178,12 +178,12 @@
   /// Maximum number of servers of one service that this entry exchanges reports
   /// with and routes to.
   std::size_t SubsetSize = 16;
-  Mechanisms On;
+  Mechanisms Enabled;
   std::function<void(std::string_view component, std::string_view message)>
-      LogEvent;
+      LogDecision;
   std::function<void(std::string_view metric, std::string_view label,
                      std::string_view value, double by)>
-      Count;
+      IncrementMetric;
   /// Records a duration in a histogram.
   std::function<void(std::string_view metric, base::Duration time)> Observe;
 };
@@ -280,7 +280,7 @@
   void on(base::Now now, PeerRequestArrived &e);
   void on(base::Now now, VmsListed &e);
   void on(base::Now now, DocumentRead &e);
-  void on(base::Now now, LeaveOrdered &e);
+  void on(base::Now now, LeaveRequested &e);
   void on(base::Now now, Tick &e);
 
   const bundle::Organisation *authorise(SessionId id,
--- a/src/entry/core-attempts.cc
+++ b/src/entry/core-attempts.cc
@@ -218,7 +218,7 @@
 }
 
 void Core::onLostReply(base::Now now, Session &s) {
-  if (Options.On.ResolveLostReplies)
+  if (Options.Enabled.ResolveLostReplies)
     sendRevoke(now, s);
   else
     retryOrFail(now, s, {Verdict::NotRun, Reason::AnswerLost, RetryAfterBusy});
@@ -291,7 +291,7 @@
     failSession(now, s, why);
     return;
   }
-  if (Options.On.LimitRetries && !Budget.tryRetry()) {
+  if (Options.Enabled.LimitRetries && !Budget.tryRetry()) {
     failSession(now, s, why);
     return;
   }
--- a/src/entry/core-documents.cc
+++ b/src/entry/core-documents.cc
@@ -84,7 +84,7 @@
   if (!member)
     return;
   member->Versions = theirs;
-  if (member->DocumentPending || !Options.On.PropagateDocuments)
+  if (member->DocumentPending || !Options.Enabled.PropagateDocuments)
     return;
   const wire::Versions ours = Documents.versions();
   const auto fetch = [&](wire::DocumentKind kind) {
--- a/src/entry/core-streams.cc
+++ b/src/entry/core-streams.cc
@@ -168,7 +168,7 @@
     return;
   }
   std::uint32_t duplicates = s.NextIndex - part.first_index();
-  if (!Options.On.DropDuplicateTokens)
+  if (!Options.Enabled.DropDuplicateTokens)
     duplicates = 0;
   const auto size = static_cast<std::uint32_t>(part.tokens_size());
   if (duplicates < size) {
--- a/src/entry/core.cc
+++ b/src/entry/core.cc
@@ -26,14 +26,14 @@
 
 void Core::logEvent(std::string_view component,
                     const std::string &message) const {
-  if (Options.LogEvent)
-    Options.LogEvent(component, message);
+  if (Options.LogDecision)
+    Options.LogDecision(component, message);
 }
 
 void Core::count(std::string_view metric, std::string_view label,
                  std::string_view value, double by) const {
-  if (Options.Count)
-    Options.Count(metric, label, value, by);
+  if (Options.IncrementMetric)
+    Options.IncrementMetric(metric, label, value, by);
 }
 
 bool Core::isReady() const {
@@ -229,7 +229,7 @@
 
 void Core::on(base::Now, SessionClosed &e) { closeSession(e.Session); }
 
-void Core::on(base::Now, LeaveOrdered &) {
+void Core::on(base::Now, LeaveRequested &) {
   IsLeaving = true;
   logEvent("entry.drain",
            fmt::format("leaving: {} sessions open", Sessions.size()));
--- a/src/entry/shell.cc
+++ b/src/entry/shell.cc
@@ -81,11 +81,13 @@
   options.Trusted = s.Settings.Daemon.Trusted;
   options.SubsetSize = s.Settings.SubsetSize;
   options.Seed = base::secureRandom64();
-  options.LogEvent = [](std::string_view component, std::string_view message) {
+  options.LogDecision = [](std::string_view component,
+                           std::string_view message) {
     base::Log(std::string(component)).info("{}", message);
   };
-  options.Count = [&s](std::string_view metric, std::string_view label,
-                       std::string_view value, double by) {
+  options.IncrementMetric = [&s](std::string_view metric,
+                                 std::string_view label, std::string_view value,
+                                 double by) {
     base::MetricLabels labels;
     if (!label.empty())
       labels.emplace(label, value);
@@ -138,7 +140,7 @@
 
 void Shell::leave() {
   IsLeaving = true;
-  dispatch(LeaveOrdered{});
+  dispatch(LeaveRequested{});
 }
 
 void Shell::dispatch(Event event) {
--- a/test/simulated-cluster.cc
+++ b/test/simulated-cluster.cc
@@ -200,9 +200,9 @@
   options.Place = "hall-a";
   options.Trusted = Keys.trusted();
   options.Seed = Random.next();
-  options.On = Options.EntryMechanisms;
-  options.Count = [this](std::string_view metric, std::string_view,
-                         std::string_view, double) {
+  options.Enabled = Options.EntryMechanisms;
+  options.IncrementMetric = [this](std::string_view metric, std::string_view,
+                                   std::string_view, double) {
     if (metric == "drumlanding_attempts_total")
       ++Attempts;
   };
