--- a/src/gateway/gossip.cc
+++ b/src/gateway/gossip.cc
@@ -269,8 +269,8 @@
                                    now - milliseconds(message.steady_ms()));
   for (const ListedServer &listed : fromWire(message.changed_servers()))
     Ctx.Servers.put(now, listed, Evidence::Gateway);
-  for (const wire::GoneServer &gone : message.gone_servers())
-    Ctx.Servers.remove(now, fromWire(gone), Evidence::Gateway);
+  for (const wire::GoneServer &removed : message.gone_servers())
+    Ctx.Servers.remove(now, fromWire(removed), Evidence::Gateway);
 }
 
 /// If a peer that watches the store has the same list, this gateway's list is
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -151,9 +151,9 @@
                                                     Server source,
                                                     Server destination,
                                                     bool isLast) {
-  const CopyRequest order{run->F.Request.AttemptId, destination.Listed.Address,
-                          isLast};
-  http::Request request = Ctx.Codec.EncodeCopyRequest(order);
+  const CopyRequest copy{run->F.Request.AttemptId, destination.Listed.Address,
+                         isLast};
+  http::Request request = Ctx.Codec.EncodeCopyRequest(copy);
   const base::Instant startedAt = Ctx.now();
   http::FetchResult fetched = co_await http::fetch(
       source.Listed.Address, std::move(request), CopyTimeout);
@@ -226,10 +226,10 @@
                            const std::string &next) {
   if (run->HasEnded)
     return;
-  TrackedRun moved = run->trackedRun();
-  moved.Server = next;
-  moved.CopyServer.clear();
-  Ctx.Runs.upsert(moved);
+  TrackedRun migrated = run->trackedRun();
+  migrated.Server = next;
+  migrated.CopyServer.clear();
+  Ctx.Runs.upsert(migrated);
   Ctx.NotifyPeers();
 }
 
