--- a/include/drumlanding/agent/scheduler.h
+++ b/include/drumlanding/agent/scheduler.h
@@ -40,7 +40,7 @@
   base::milliseconds MaxQueueWait{0};
 };
 
-/// A generation as passed to callbacks.
+/// A generation as SchedulerOptions::Survival receives it.
 struct JobView {
   JobId Id;
   const JobSpec &Spec;
--- a/include/drumlanding/bundle/signature.h
+++ b/include/drumlanding/bundle/signature.h
@@ -57,8 +57,8 @@
 base::Result<Bundle> verify(const SignedBundle &bundle,
                             const TrustedKeys &trusted);
 
-/// Serialises and parses a signed bundle, as files and the key-value service
-/// store it.
+/// Converts a signed bundle to and from the JSON text that files and the
+/// key-value service hold.
 std::string serialise(const SignedBundle &bundle);
 base::Result<SignedBundle> parseSignedBundle(std::string_view json);
 
--- a/include/drumlanding/daemon/sleep.h
+++ b/include/drumlanding/daemon/sleep.h
@@ -9,7 +9,8 @@
 
 namespace drumlanding::daemon {
 
-/// Waits on the executor of the coroutine.
+/// Suspends the calling coroutine for the given time without blocking a thread.
+/// The timer runs on the coroutine's executor.
 boost::asio::awaitable<void> sleepFor(base::Duration time);
 
 } // namespace drumlanding::daemon
--- a/include/drumlanding/gateway/protocol-codec.h
+++ b/include/drumlanding/gateway/protocol-codec.h
@@ -42,7 +42,8 @@
 /// Where a stream resumes: a copy of the generation's KV cache, and the last
 /// event that the client has received.
 struct ResumePoint {
-  /// The server that made or holds the copy, and the copy's handle there.
+  /// The server that the generation ran on before, and the handle that this
+  /// server gave the copy.
   base::Endpoint Address;
   std::string Handle;
   std::int64_t LastEventId = 0;
--- a/include/drumlanding/gateway/store-reader.h
+++ b/include/drumlanding/gateway/store-reader.h
@@ -32,7 +32,7 @@
   std::optional<ListedServer> Listed;
   /// Why the entry is not usable; empty if it was removed.
   std::string Problem = {};
-  /// The store's revision of the change.
+  /// The store's revision at which the entry changed.
   std::uint64_t Revision = 0;
 };
 
--- a/src/ctl/commands.cc
+++ b/src/ctl/commands.cc
@@ -66,8 +66,8 @@
   r = writeFile(name + ".pub", base::toHex(pair.Public) + "\n", false);
   if (!ok(r))
     return reportError(error(r));
-  std::printf("%s.key (keep it secret) and %s.pub\n%s\n", name.c_str(),
-              name.c_str(), base::toHex(pair.Public).c_str());
+  std::printf("wrote %s.key (keep it secret) and %s.pub; public key:\n%s\n",
+              name.c_str(), name.c_str(), base::toHex(pair.Public).c_str());
   return ExitSuccess;
 }
 
--- a/src/gateway/directory.cc
+++ b/src/gateway/directory.cc
@@ -22,7 +22,7 @@
 constexpr base::milliseconds BaseEjectionTime{1'000};
 constexpr base::milliseconds MaxEjectionTime{8'000};
 /// Time during which a leaving server is announced to the other gateways: ten
-/// messages.
+/// full-state gossip messages.
 constexpr base::seconds LeavingBroadcastTime{5};
 /// Time after the last ejection at which incomplete responses expire, in case
 /// no short request arrives as a trial.
@@ -222,8 +222,8 @@
   setLeaving(now, it->second, Evidence::Gateway);
 }
 
-/// An address belongs to one server only: any other server listed there has
-/// ended.
+/// Marks all other servers at the entry's address as replaced. Only one server
+/// can use an address, so the others have ended.
 void Directory::replaceOthersAt(base::Instant now, const ListedServer &entry) {
   for (auto &[id, server] : Servers) {
     if (id == entry.Id || server.Listed.Address != entry.Address ||
@@ -272,8 +272,8 @@
 
 void Directory::recordStoreContact(base::Instant readAt,
                                    base::Instant stableSince) {
-  // The reader had contact with the store throughout what looked like an outage
-  // to this gateway.
+  // The reader had contact with the store throughout the time that this gateway
+  // took for an outage, so there was none.
   if (GraceUntil != base::Instant{} && stableSince <= OutageStart) {
     GraceUntil = {};
     StoreStableSince = std::min(StoreStableSince, stableSince);
--- a/src/gateway/main.cc
+++ b/src/gateway/main.cc
@@ -30,7 +30,8 @@
              "[network] UDP port of the engines' sidecars, 1 to 65535; 0 when "
              "there are no sidecars");
 DEFINE_double(retry_part, 0.2,
-              "[decisions] allowed retries per request, 0 to 1");
+              "[decisions] retries allowed per first send of a request, as a "
+              "ratio from 0 to 1");
 DEFINE_double(retry_extra, 0,
               "[decisions] additional retries per window for all gateways "
               "together, 0 or more");
--- a/src/gateway/migrator.cc
+++ b/src/gateway/migrator.cc
@@ -114,8 +114,8 @@
 }
 
 /// Waits until the runs that migrate before this one have left the server.
-/// Proceeds as well when their number has not changed for MaxTurnTime: the
-/// gateway that migrates them has probably failed.
+/// Stops waiting when the number of runs there has not changed for MaxTurnTime:
+/// the gateway of a run that migrates first has probably failed.
 asio::awaitable<void> Migrator::waitForTurn(StreamRunPointer run,
                                             std::string sourceId) {
   std::size_t previousCount = 0;
@@ -170,18 +170,18 @@
   co_return response;
 }
 
-/// Copies, at most MaxCopies times, until a copy is not delayed by others on
-/// the link or until the time before the shutdown is needed for the final copy.
-/// Returns false when the destination accepts no copy or the run has left the
-/// source.
+/// Copies the KV cache while the run continues, at most MaxCopies times, until
+/// one copy is not delayed by others on the link or only the final copy fits
+/// before the shutdown. Returns false when the destination accepts no copy or
+/// the run has left the source.
 asio::awaitable<bool> Migrator::copyWhileRunning(StreamRunPointer run,
                                                  Server source,
                                                  Server destination) {
   base::Duration expected = estimateCopyTime(*run, source, destination);
   for (int i = 0; i < MaxCopies; ++i) {
     const base::Instant startedAt = Ctx.now();
-    // There is no time for another copy and the final one: the final copy has
-    // to transfer everything.
+    // Another copy and the final one no longer fit before the shutdown: the
+    // final copy has to transfer all that is not yet at the destination.
     if (startedAt + expected + FinalCopyTime > shutdownAt(source))
       co_return true;
     const CopyResponse response =
@@ -205,7 +205,7 @@
 }
 
 /// Publishes the destination of a copy, so that the other gateways count it in
-/// that engine's load.
+/// that engine's load. An empty name withdraws it.
 void Migrator::announceCopy(const StreamRunPointer &run, std::string server) {
   if (run->HasEnded)
     return;
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -49,8 +49,9 @@
   return std::find(tried.begin(), tried.end(), id) != tried.end();
 }
 
-/// Returns true if a generation may test whether an engine with incomplete
-/// responses has recovered: a short one, and one at a time.
+/// Returns true if a generation may serve as a trial of an engine that recently
+/// returned incomplete responses: the generation is short and no other one runs
+/// on the engine.
 bool isTrial(const Demand &demand, const EngineLoad &load) {
   return demand.ExpectedTokens <= MaxTrialTokens && load.Running == 0;
 }
--- a/src/gateway/stream-forwarder.cc
+++ b/src/gateway/stream-forwarder.cc
@@ -75,8 +75,9 @@
   Run->Server.clear();
 }
 
-/// Notifies the peers when this run's progress may let other runs on a leaving
-/// server migrate: runs there migrate one after another.
+/// Notifies the peers of this run's progress if its server is leaving. Runs
+/// migrate off a leaving server one after another, so the next one may have
+/// been waiting for this change.
 void StreamForwarder::notifyIfLeaving() {
   const Server *server = Ctx.Servers.find(Run->Server);
   if (server && server->IsLeaving && Ctx.NotifyPeers)
